--- a/internal/coordinator/builds_test.go
+++ b/internal/coordinator/builds_test.go
@@ -46,12 +46,12 @@
 			<-engines.made
 		}
 		c.Resign()
-		c.ObserveLease(election.Standing{})
+		c.ObserveLease(election.State{})
 		time.Sleep(100 * time.Millisecond)
 		claimed := time.Now()
 		for range 5 {
-			// The standing is told with each read of the lease.
-			c.ObserveLease(election.Standing{Coordinator: "successor"})
+			// The state is reported with each read of the lease.
+			c.ObserveLease(election.State{Coordinator: "successor"})
 			time.Sleep(50 * time.Millisecond)
 		}
 		for range items {
--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -282,12 +282,12 @@
 	machine.HandleServers(now, servers)
 }
 
-// ObserveLease takes this node's standing in the election.
-func (c *Coordinator) ObserveLease(standing election.Standing) {
-	c.setLease(standing)
+// ObserveLease takes this node's state in the election.
+func (c *Coordinator) ObserveLease(state election.State) {
+	c.setLease(state)
 	c.input(func(now time.Time, machine *scheduler.Machine) {
-		settled := standing.Lease.SettledAt(c.options.OrderPause, c.options.Fenced)
-		machine.HandleLease(now, standing.Lease.Epoch, standing.Held && !now.Before(settled))
+		settled := state.Lease.SettledAt(c.options.OrderPause, c.options.Fenced)
+		machine.HandleLease(now, state.Lease.Epoch, state.Held && !now.Before(settled))
 	})
 }
 
--- a/internal/coordinator/handover.go
+++ b/internal/coordinator/handover.go
@@ -126,7 +126,7 @@
 
 // takeOver has the predecessor end its runs and returns what it left; that is whole where nothing
 // else needs to be read of it.
-func (c *Coordinator) takeOver(term context.Context, from election.Yielded) liveness.HandedOver {
+func (c *Coordinator) takeOver(term context.Context, from election.YieldedLease) liveness.HandedOver {
 	if from.Address == "" {
 		return liveness.HandedOver{}
 	}
--- a/internal/coordinator/handover_test.go
+++ b/internal/coordinator/handover_test.go
@@ -90,7 +90,7 @@
 // leads has a coordinator lead under an epoch.
 func leads(c *Coordinator, epoch int64) {
 	now := time.Now()
-	c.ObserveLease(election.Standing{Leading: true, Held: true, Lease: election.Lease{Epoch: epoch, ClaimedAt: now, Until: now.Add(time.Minute)}})
+	c.ObserveLease(election.State{Leading: true, Held: true, Lease: election.Lease{Epoch: epoch, ClaimedAt: now, ExpiresAt: now.Add(time.Minute)}})
 }
 
 // lead returns a coordinator that runs the items of a job under epoch 1, each of which has made
@@ -143,7 +143,7 @@
 func TestATermThatEndsBeforeItIsYieldedIsHandedOver(t *testing.T) {
 	const items = 3
 	c := lead(t, items)
-	c.ObserveLease(election.Standing{Lease: election.Lease{Epoch: 1}})
+	c.ObserveLease(election.State{Lease: election.Lease{Epoch: 1}})
 	c.Yield(1)
 	if left := c.HandOver(1); handedTexts(left) != items || !left.Whole {
 		t.Errorf("%d texts of %d, whole %v", handedTexts(left), items, left.Whole)
--- a/internal/coordinator/load.go
+++ b/internal/coordinator/load.go
@@ -81,7 +81,7 @@
 	clock.Refresh()
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return c.machine != nil && !c.resigned && c.lease.Epoch == order.Epoch && clock.Now().Before(c.lease.Until)
+	return c.machine != nil && !c.resigned && c.lease.Epoch == order.Epoch && clock.Now().Before(c.lease.ExpiresAt)
 }
 
 func (c *Coordinator) state(ctx context.Context, order scheduler.Order) (EngineState, error) {
--- a/internal/coordinator/suspended_test.go
+++ b/internal/coordinator/suspended_test.go
@@ -15,7 +15,7 @@
 func TestALeaseEndsWhileTheMachineIsSuspended(t *testing.T) {
 	c := New(Options{})
 	c.machine = scheduler.NewMachine(scheduler.Options{})
-	c.lease = election.Lease{Epoch: 3, Until: clock.Now().Add(2 * time.Second)}
+	c.lease = election.Lease{Epoch: 3, ExpiresAt: clock.Now().Add(2 * time.Second)}
 	order := scheduler.Order{Epoch: 3}
 	if !c.mayOrder(order) {
 		t.Fatal("no order under a lease in force")
--- a/internal/coordinator/takeover_test.go
+++ b/internal/coordinator/takeover_test.go
@@ -106,8 +106,8 @@
 	id := jobIn(jobs, 1)
 	appendJob(t, jobs, id, 1)
 	now := time.Now()
-	c.ObserveLease(election.Standing{Leading: true, Held: true, Lease: election.Lease{
-		Epoch: 2, ClaimedAt: now, Until: now.Add(time.Minute), Succeeded: true, Yielded: election.Yielded{Address: address, Epoch: 1},
+	c.ObserveLease(election.State{Leading: true, Held: true, Lease: election.Lease{
+		Epoch: 2, ClaimedAt: now, ExpiresAt: now.Add(time.Minute), HasPredecessor: true, Yielded: election.YieldedLease{Address: address, Epoch: 1},
 	}})
 	awaitItem(t, engines, id+"a")
 	if took := time.Since(now); took > appendTimeout {
--- a/internal/coordinator/term.go
+++ b/internal/coordinator/term.go
@@ -17,37 +17,37 @@
 
 // setLease begins or ends a term. A term goes on while the lease could not be renewed and nobody else claimed it:
 // runs do no harm then, and only orders need a lease in force.
-func (c *Coordinator) setLease(standing election.Standing) {
+func (c *Coordinator) setLease(state election.State) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.machine != nil {
 		switch {
-		case standing.Leading && standing.Lease.Epoch == c.termEpoch:
+		case state.Leading && state.Lease.Epoch == c.termEpoch:
 		case !c.resigned:
 			// The lease may have been yielded just now, before the coordinator was told: whoever
 			// claims it next asks for what is left.
 			c.startNothingLocked()
 			c.handOverLocked()
-		case standing.Leading:
+		case state.Leading:
 			// Nobody else has claimed what this process gave up.
 			c.handOverLocked()
-		case standing.Coordinator != "":
-			c.noteSuccessorLocked(standing.CoordinatorAsks)
+		case state.Coordinator != "":
+			c.noteSuccessorLocked(state.CoordinatorAsksPredecessor)
 		}
 	}
-	c.lease = standing.Lease
-	if standing.Lease.Epoch == c.handed.epoch {
+	c.lease = state.Lease
+	if state.Lease.Epoch == c.handed.epoch {
 		// The lease stands until its release is appended; what was begun under it belongs to
 		// the successor.
 		return
 	}
-	if c.closed || !standing.Leading || c.machine != nil || c.table == nil {
+	if c.closed || !state.Leading || c.machine != nil || c.table == nil {
 		return
 	}
 	options := c.options.Scheduler
-	options.Term = standing.Lease.Epoch
+	options.Term = state.Lease.Epoch
 	c.machine = scheduler.NewMachine(options)
-	c.termEpoch = standing.Lease.Epoch
+	c.termEpoch = state.Lease.Epoch
 	c.cancels = make(map[scheduler.AttemptID]context.CancelFunc)
 	c.rewardCancels = make(map[reward.SendID]context.CancelFunc)
 	c.term, c.endTerm = context.WithCancel(context.Background())
@@ -62,7 +62,7 @@
 	c.machine.HandleSuspicions(now, c.options.Quarantine.Suspicions())
 	c.handleServers(now, c.machine)
 	c.options.Logger.Info("term begun", zap.Int64("epoch", c.termEpoch))
-	term, machine, lease := c.term, c.machine, standing.Lease
+	term, machine, lease := c.term, c.machine, state.Lease
 	c.background.Go(func() { c.follow(term, machine, lease) })
 }
 
--- a/internal/election/machine.go
+++ b/internal/election/machine.go
@@ -1,7 +1,7 @@
-// Package election keeps a lease in the store: one node holds it, renews it by
-// records, and loses it when the others have seen no renewal for its time to live.
-// Claims and renewals are appended on the condition of the partition's end, so
-// that a holder that was paused can not renew over its successor's claim.
+// Package election elects a leader by means of a lease kept in the store: one node holds it, renews it by
+// appending records, and loses it when the others have seen no renewal for its time to live. Claims and
+// renewals are conditional appends at the expected end of the partition, so that a holder that was paused
+// cannot renew over the claim of its successor.
 package election
 
 import (
@@ -12,7 +12,7 @@
 	"dalehook/internal/liveness"
 )
 
-// kind says what a record does to the lease.
+// kind is the effect of a record on the lease.
 type kind string
 
 const (
@@ -21,80 +21,79 @@
 	kindRelease kind = "release"
 )
 
-// entry is one record of the lease's partition.
+// entry is one record in the lease's partition.
 type entry struct {
 	Kind   kind
 	Holder string
-	// Address is where the holder answers whether it runs; claims bear it.
+	// Address is where the holder answers liveness probes; only claims carry it.
 	Address string `json:",omitempty"`
-	// Asks says, in a claim, that the holder asks its predecessor for what it leaves, also where that
-	// released the lease. Builds that do not tell may not do so.
+	// Asks is set in a claim if the holder requests a handover from its predecessor even where that one
+	// released the lease. Builds that do not set it may not do so.
 	Asks bool `json:",omitempty"`
-	// Epoch is one more than the offset of the holder's claim; claims have none.
+	// Epoch is the offset of the holder's claim plus one; claims leave it empty.
 	Epoch int64 `json:",omitempty"`
-	// News is what the holder tells all nodes; nil where it tells nothing, as do builds without it.
-	News *News `json:",omitempty"`
+	// News is the holder's announcement to all nodes; nil if it announces nothing, as builds without this
+	// field.
+	News *Announcement `json:",omitempty"`
 }
 
 // Timing holds the durations of a lease.
 type Timing struct {
-	// TTL is the time without a renewal after which the lease may be claimed.
+	// TTL is the time without a renewal after which the lease can be claimed.
 	TTL time.Duration
-	// SilentTTL is the same for a holder whose node did not answer, several times over.
-	SilentTTL time.Duration
-	// Renewal is the time between renewals.
-	Renewal time.Duration
-	// Doubt is the time without a renewal after which the holder is asked whether
-	// it still runs.
-	Doubt time.Duration
-	// Margin is taken off TTL where the holder judges its own lease.
-	Margin time.Duration
-	// Handicap is how long this process leaves a lease that may be claimed to others,
-	// which can do more with it.
-	Handicap time.Duration
+	// UnresponsiveTTL replaces TTL for a holder whose node repeatedly failed to answer.
+	UnresponsiveTTL time.Duration
+	// RenewInterval is the time between renewals.
+	RenewInterval time.Duration
+	// SuspectAfter is the time without a renewal after which the holder is probed.
+	SuspectAfter time.Duration
+	// SafetyMargin is subtracted from TTL when the holder evaluates its own lease.
+	SafetyMargin time.Duration
+	// ClaimDelay is how long this process leaves a claimable lease to others that have more processor capacity
+	// to lead with.
+	ClaimDelay time.Duration
 }
 
-// Lease is what a holder may rely on.
+// Lease is the lease as its holder sees it.
 type Lease struct {
-	// Epoch rises with every claim; it serves as the fencing token.
+	// Epoch rises with every claim and serves as the fencing token.
 	Epoch int64
-	// ClaimedAt is when the claim was known to stand.
+	// ClaimedAt is when the claim was confirmed.
 	ClaimedAt time.Time
-	// Until is when the lease runs out unless it is renewed.
-	Until time.Time
-	// Succeeded says that another process held the lease before.
-	Succeeded bool
-	// Contested says that the process before may still run and act on the lease:
-	// it did not release it, nor did a later process of its node answer.
+	// ExpiresAt is when the lease expires unless it is renewed.
+	ExpiresAt time.Time
+	// HasPredecessor is set if another process held the lease before.
+	HasPredecessor bool
+	// Contested is set if the predecessor may still run and act on the lease: it did not release it, and no
+	// later process of its node has answered.
 	Contested bool
-	// Yielded says where the process before hands its work over; it is zero unless that
-	// process yielded or released the lease.
-	Yielded Yielded
+	// Yielded is where to request the predecessor's handover; zero unless that process yielded or released the
+	// lease.
+	Yielded YieldedLease
 }
 
-// SettledAt returns from when on nothing that the process before does on the lease can meet
-// what this one does: at once, unless that process may still act, or nobody checks the epoch
-// (not fenced); then after a pause.
+// SettledAt returns the time from which actions of the predecessor can no longer conflict with those of
+// this process: immediately, unless the predecessor may still act or the epoch is not checked (not fenced),
+// in which case it is after a pause.
 func (l Lease) SettledAt(pause time.Duration, fenced bool) time.Time {
-	if l.Contested || l.Succeeded && !fenced {
+	if l.Contested || l.HasPredecessor && !fenced {
 		return l.ClaimedAt.Add(pause)
 	}
 	return l.ClaimedAt
 }
 
-// Yielded names a lease that its holder gave up.
-type Yielded struct {
-	// Address is where the holder answers.
+// YieldedLease identifies a lease that its holder gave up.
+type YieldedLease struct {
+	// Address is where the former holder answers.
 	Address string
 	Epoch   int64
 }
 
-// silentAnswers is how often in a row a holder's node must not have answered for the
-// lease to end sooner.
-const silentAnswers = 2
+// minUnanswered is the number of consecutive unanswered probes after which UnresponsiveTTL applies.
+const minUnanswered = 2
 
-// Machine is one node's view of a lease. It does no I/O; it is used by one
-// goroutine.
+// Machine is the state machine of one node's view of a lease. It does no I/O and must be used by one
+// goroutine only.
 type Machine struct {
 	self    string
 	address string
@@ -102,161 +101,163 @@
 
 	// end is the offset after the last record that was read.
 	end int64
-	// holder is empty when the lease is free.
+	// holder is empty if the lease is free.
 	holder string
 	epoch  int64
-	// seenAt is when the last claim or renewal of the holder was read.
-	seenAt time.Time
-	// readFailedAt is when a read last failed. Time in which the store could not
-	// be read does not count against the holder.
+	// renewalSeenAt is when the holder's last claim or renewal was read.
+	renewalSeenAt time.Time
+	// readFailedAt is when a read last failed. Time in which the store could not be read does not count against
+	// the holder.
 	readFailedAt time.Time
 	renewedAt    time.Time
-	held         Lease
-	leaving      bool
-	// holderAddress is where the holder answers; holderAsks says that it asks its predecessor for what
-	// that leaves.
-	holderAddress string
-	holderAsks    bool
-	// ended says that the holder's process seems to have ended, certain that a
-	// later process of its node answered.
-	ended, certain       bool
-	succeeded, contested bool
-	// silent counts the times in a row that the holder's node did not answer.
-	silent int
-	// yields says that the holder has yielded, yielded that the one before had.
-	yields  bool
-	yielded Yielded
-	// gaveUp is the epoch of the lease that this process has yielded; 0 for none.
-	gaveUp int64
-	// caughtUp is set once the log was read to its end: how old the renewals before
-	// that were is not known.
+	ownLease     Lease
+	resigning    bool
+	// holderAddress is where the holder answers; holderAsksPredecessor is set if the holder requests a handover from its
+	// predecessor.
+	holderAddress         string
+	holderAsksPredecessor bool
+	// holderEnded is set if the holder's process appears to have ended, endConfirmed if a later process of its
+	// node answered or the holder yielded.
+	holderEnded, endConfirmed bool
+	hasPredecessor, contested bool
+	// unanswered counts consecutive unanswered probes of the holder.
+	unanswered int
+	// holderYielded is set if the holder has yielded; predecessorLease is the lease that the predecessor gave
+	// up.
+	holderYielded    bool
+	predecessorLease YieldedLease
+	// yieldedEpoch is the epoch of the lease that this process has yielded; 0 for none.
+	yieldedEpoch int64
+	// caughtUp is set once the log has been read to its end. The age of the renewals before that is unknown.
 	caughtUp bool
-	// heard says that a claim or renewal of the holder came since then.
-	heard bool
-	// heldBefore says that the holder's claim stood before this process read the log to its end.
-	heldBefore bool
+	// renewedSinceCaughtUp is set if a claim or renewal of the holder was read after that.
+	renewedSinceCaughtUp bool
+	// claimedBeforeCaughtUp is set if the holder's claim predates this process's first read to the end of the
+	// log.
+	claimedBeforeCaughtUp bool
 	// startedAt is when this process started.
 	startedAt time.Time
 	// releasedAt is when a release was read; zero while the lease has a holder.
 	releasedAt time.Time
-	// freeAt is when the lease was first found free to claim; zero while it is not.
-	freeAt time.Time
-	// predecessor held the lease before the last claim, and answered at
-	// predecessorAddress.
+	// claimableSince is when the lease was first found claimable; zero while it is not.
+	claimableSince time.Time
+	// predecessor held the lease before the last claim and answered at predecessorAddress.
 	predecessor, predecessorAddress string
-	// news is what this process tells while it holds the lease, told the Next of what it told last.
-	news *News
-	told int64
-	// heardNews is the last that the holder told; nil for none.
-	heardNews *Heard
-	// endAsked is when the log was asked for that was read to its end last, at readAt: what is read later was
-	// appended after that. See Standing for readSince.
-	endAsked, readAt, readSince time.Time
+	// announcement is what this process announces while it holds the lease; announcedNext is the Next of its
+	// last announcement.
+	announcement  *Announcement
+	announcedNext int64
+	// received is the holder's last announcement; nil for none.
+	received *ReceivedAnnouncement
+	// lastReadSentAt is when the last read that reached the end of the log was sent, and readAt when it
+	// returned: records that a later read returns were appended after lastReadSentAt. See State for
+	// readableSince.
+	lastReadSentAt, readAt, readableSince time.Time
 }
 
-// NewMachine returns the machine of a node called self, a name that no other
-// process has, nor an earlier one of this node.
-// It answers at address whether it runs.
+// NewMachine returns the state machine of a process called self. No other process may have that name, nor
+// an earlier process of the same node. The process answers liveness probes at address.
 func NewMachine(now time.Time, self, address string, timing Timing) *Machine {
 	return &Machine{self: self, address: address, timing: timing, startedAt: now}
 }
 
-// Append is a record to append at End.
+// Append is a record to append if the partition ends at ExpectedEnd.
 type Append struct {
-	End     int64
-	Payload []byte
-	// Renews says that the append extends a lease that is held.
-	Renews bool
-	news   *News
+	ExpectedEnd int64
+	Payload     []byte
+	// Renews is set if the append extends a lease that is held.
+	Renews       bool
+	announcement *Announcement
 }
 
-// End returns the offset from which to read on.
-func (m *Machine) End() int64 { return m.end }
+// NextOffset returns the offset of the next record to read.
+func (m *Machine) NextOffset() int64 { return m.end }
 
-// Holder returns the node that holds the lease, as far as was read.
+// Holder returns the node that holds the lease, according to the records read so far.
 func (m *Machine) Holder() string { return m.holder }
 
-// Standing is a node's place in the election.
-type Standing struct {
+// State is a node's role in the election.
+type State struct {
 	Lease Lease
-	// Held says that the lease is in force.
+	// Held is set while the lease is in force.
 	Held bool
-	// Leading says that this node claimed last, as far as was read, though its
-	// lease may have run out.
+	// Leading is set if this node's claim is the last one read, even if its lease may have expired.
 	Leading bool
-	// Coordinator is where the holder answers, while that is another process which is
-	// not thought to have ended; else it is empty.
+	// Coordinator is the address of the holder if that is another process not believed to have ended; otherwise
+	// it is empty.
 	Coordinator string
-	// CoordinatorAsks says that the coordinator asks its predecessor for what that leaves.
-	CoordinatorAsks bool
-	// Established says that the holder is another process, which held the lease before this one
-	// began, and has renewed it since: the fleet was running already.
+	// CoordinatorAsksPredecessor is set if the coordinator requests a handover from its predecessor.
+	CoordinatorAsksPredecessor bool
+	// Established is set if the holder is another process that held the lease before this process started and
+	// has renewed it since: the fleet was already running.
 	Established bool
-	// News is what the coordinator told last; nil where it tells nothing.
-	News *Heard
-	// ReadAt is when the log was last read to its end, ReadSince since when all reads were answered; that is zero
-	// while they are not.
-	ReadAt, ReadSince time.Time
+	// Announcement is the coordinator's last announcement; nil if it announces nothing.
+	Announcement *ReceivedAnnouncement
+	// ReadAt is when the log was last read to its end. ReadableSince is the time since which every read has
+	// succeeded; zero while reads fail.
+	ReadAt, ReadableSince time.Time
 }
 
-// Standing returns this node's place.
-func (m *Machine) Standing(now time.Time) Standing {
+// State returns this node's role in the election.
+func (m *Machine) State(now time.Time) State {
 	lease, held := m.Held(now)
-	leading := m.holder == m.self && lease.Epoch == m.epoch && !lease.ClaimedAt.IsZero() && m.gaveUp != m.epoch
-	return Standing{Lease: lease, Held: held, Leading: leading, Coordinator: m.coordinator(), CoordinatorAsks: m.holderAsks, Established: m.established(), News: m.heardNews,
-		ReadAt: m.readAt, ReadSince: m.readSince}
+	leading := m.holder == m.self && lease.Epoch == m.epoch && !lease.ClaimedAt.IsZero() && m.yieldedEpoch != m.epoch
+	return State{Lease: lease, Held: held, Leading: leading, Coordinator: m.coordinator(), CoordinatorAsksPredecessor: m.holderAsksPredecessor, Established: m.established(), Announcement: m.received,
+		ReadAt: m.readAt, ReadableSince: m.readableSince}
 }
 
-// coordinator returns where another process answers that holds the lease, as far as is known.
+// coordinator returns the address of the other process that holds the lease, if known.
 func (m *Machine) coordinator() string {
-	if m.holder == "" || m.holder == m.self || m.ended || m.silent > 0 {
+	if m.holder == "" || m.holder == m.self || m.holderEnded || m.unanswered > 0 {
 		return ""
 	}
 	return m.holderAddress
 }
 
-func (m *Machine) established() bool { return m.heldBefore && m.heard && m.coordinator() != "" }
+func (m *Machine) established() bool {
+	return m.claimedBeforeCaughtUp && m.renewedSinceCaughtUp && m.coordinator() != ""
+}
 
-// Held returns the lease while this node may rely on it.
+// Held returns this node's lease and whether it is in force.
 func (m *Machine) Held(now time.Time) (Lease, bool) {
-	held := m.holder == m.self && m.held.Epoch == m.epoch && m.gaveUp != m.epoch && now.Before(m.held.Until)
-	return m.held, held
+	held := m.holder == m.self && m.ownLease.Epoch == m.epoch && m.yieldedEpoch != m.epoch && now.Before(m.ownLease.ExpiresAt)
+	return m.ownLease, held
 }
 
-// HandleRecord takes the record at an offset.
+// HandleRecord applies the record at an offset.
 func (m *Machine) HandleRecord(now time.Time, offset int64, payload []byte) error {
 	m.end = offset + 1
-	var read entry
-	if err := json.Unmarshal(payload, &read); err != nil {
+	var record entry
+	if err := json.Unmarshal(payload, &record); err != nil {
 		return fmt.Errorf("decode a lease record at offset %d: %w", offset, err)
 	}
-	switch read.Kind {
+	switch record.Kind {
 	case kindClaim:
-		m.succeeded = m.epoch != 0
-		m.contested = m.holder != "" && !m.certain
-		m.yielded = Yielded{}
-		if m.yields || !m.releasedAt.IsZero() {
-			m.yielded = Yielded{Address: m.holderAddress, Epoch: m.epoch}
+		m.hasPredecessor = m.epoch != 0
+		m.contested = m.holder != "" && !m.endConfirmed
+		m.predecessorLease = YieldedLease{}
+		if m.holderYielded || !m.releasedAt.IsZero() {
+			m.predecessorLease = YieldedLease{Address: m.holderAddress, Epoch: m.epoch}
 		}
-		m.clearDoubt()
-		m.releasedAt, m.freeAt = time.Time{}, time.Time{}
+		m.clearSuspicion()
+		m.releasedAt, m.claimableSince = time.Time{}, time.Time{}
 		m.predecessor, m.predecessorAddress = m.holder, m.holderAddress
-		m.holder = read.Holder
-		m.holderAddress, m.holderAsks = read.Address, read.Asks
-		m.heard = m.caughtUp
-		m.heldBefore = !m.caughtUp
+		m.holder = record.Holder
+		m.holderAddress, m.holderAsksPredecessor = record.Address, record.Asks
+		m.renewedSinceCaughtUp = m.caughtUp
+		m.claimedBeforeCaughtUp = !m.caughtUp
 		m.epoch = offset + 1
-		m.seenAt = now
-		m.hear(now, read.News)
+		m.renewalSeenAt = now
+		m.receive(now, record.News)
 	case kindRenew:
-		if read.Holder == m.holder && read.Epoch == m.epoch {
-			m.seenAt = now
-			m.hear(now, read.News)
-			m.heard = m.caughtUp
-			m.clearDoubt()
+		if record.Holder == m.holder && record.Epoch == m.epoch {
+			m.renewalSeenAt = now
+			m.receive(now, record.News)
+			m.renewedSinceCaughtUp = m.caughtUp
+			m.clearSuspicion()
 		}
 	case kindRelease:
-		if read.Holder == m.holder && read.Epoch == m.epoch {
+		if record.Holder == m.holder && record.Epoch == m.epoch {
 			m.holder = ""
 			m.releasedAt = now
 		}
@@ -264,114 +265,114 @@
 	return nil
 }
 
-// clearDoubt forgets what asking after the holder told.
-func (m *Machine) clearDoubt() {
-	m.ended, m.certain, m.yields = false, false, false
-	m.silent = 0
+// clearSuspicion discards the results of probing the holder.
+func (m *Machine) clearSuspicion() {
+	m.holderEnded, m.endConfirmed, m.holderYielded = false, false, false
+	m.unanswered = 0
 }
 
-// HandleReadFailure notes that the store could not be read.
-func (m *Machine) HandleReadFailure(now time.Time) { m.readFailedAt, m.readSince = now, time.Time{} }
+// HandleReadFailure records that the store could not be read.
+func (m *Machine) HandleReadFailure(now time.Time) {
+	m.readFailedAt, m.readableSince = now, time.Time{}
+}
 
-// HandleTrimmed continues at the first record that is kept.
+// HandleTrimmed continues at the first retained record.
 func (m *Machine) HandleTrimmed(first int64) { m.end = max(m.end, first) }
 
-// Leave makes the machine release the lease and claim it no more.
-func (m *Machine) Leave() { m.leaving = true }
+// Resign makes the machine release the lease and never claim it again.
+func (m *Machine) Resign() { m.resigning = true }
 
-// Tick returns the record to append now, or nil. The log was read to its end.
+// Tick returns the record to append now, or nil. The log must have been read to its end.
 func (m *Machine) Tick(now time.Time) *Append {
-	// An own claim whose append got no answer is found in the log, and renewed.
+	// A claim of this process whose append got no answer is found in the log and renewed.
 	if m.holder == m.self {
-		return m.keep(now)
+		return m.renewOrRelease(now)
 	}
-	m.noteFree(now)
-	if m.leaving || m.freeAt.IsZero() || m.ClaimIn(now) > 0 {
+	m.updateClaimable(now)
+	if m.resigning || m.claimableSince.IsZero() || m.ClaimIn(now) > 0 {
 		return nil
 	}
-	return m.append(entry{Kind: kindClaim, Holder: m.self, Address: m.address, Asks: true, News: m.news}, false)
+	return m.append(entry{Kind: kindClaim, Holder: m.self, Address: m.address, Asks: true, News: m.announcement}, false)
 }
 
-// noteFree notes since when the lease may be claimed.
-func (m *Machine) noteFree(now time.Time) {
-	free := m.holder == "" || m.expired(now) || m.ended
+// updateClaimable records since when the lease can be claimed.
+func (m *Machine) updateClaimable(now time.Time) {
+	claimable := m.holder == "" || m.expired(now) || m.holderEnded
 	switch {
-	case !free:
-		m.freeAt = time.Time{}
-	case m.freeAt.IsZero():
-		m.freeAt = now
+	case !claimable:
+		m.claimableSince = time.Time{}
+	case m.claimableSince.IsZero():
+		m.claimableSince = now
 	}
 }
 
-func (m *Machine) keep(now time.Time) *Append {
-	if m.leaving || m.gaveUp == m.epoch {
+func (m *Machine) renewOrRelease(now time.Time) *Append {
+	if m.resigning || m.yieldedEpoch == m.epoch {
 		return m.append(entry{Kind: kindRelease, Holder: m.self, Epoch: m.epoch}, false)
 	}
-	if now.Sub(m.renewedAt) < m.timing.Renewal && !m.hasNews() {
+	if now.Sub(m.renewedAt) < m.timing.RenewInterval && !m.hasNewAnnouncement() {
 		return nil
 	}
-	return m.append(entry{Kind: kindRenew, Holder: m.self, Epoch: m.epoch, News: m.news}, true)
+	return m.append(entry{Kind: kindRenew, Holder: m.self, Epoch: m.epoch, News: m.announcement}, true)
 }
 
-// Doubtful returns the holder to ask after: another process that was not heard of
-// for longer than it takes to renew, or not at all since this process started. The
-// log was read to its end.
-func (m *Machine) Doubtful(now time.Time) (holder, address string, doubtful bool) {
+// Suspect returns the holder to probe: another process that has not renewed for longer than SuspectAfter,
+// or not at all since this process started. The log must have been read to its end.
+func (m *Machine) Suspect(now time.Time) (holder, address string, suspect bool) {
 	m.caughtUp = true
-	if m.leaving || m.holder == "" || m.holder == m.self || m.holderAddress == "" || m.ended {
+	if m.resigning || m.holder == "" || m.holder == m.self || m.holderAddress == "" || m.holderEnded {
 		return "", "", false
 	}
-	return m.holder, m.holderAddress, !m.heard || now.Sub(m.seenAt) > m.timing.Doubt
+	return m.holder, m.holderAddress, !m.renewedSinceCaughtUp || now.Sub(m.renewalSeenAt) > m.timing.SuspectAfter
 }
 
-// DoubtIn returns the time until the holder is in doubt; 0 when it is, when there is
-// none, and for the holder itself.
-func (m *Machine) DoubtIn(now time.Time) time.Duration {
-	if m.holder == "" || m.holder == m.self || !m.heard {
+// SuspectIn returns the time until the holder becomes suspect; 0 if it already is, if there is no holder,
+// and for the holder itself.
+func (m *Machine) SuspectIn(now time.Time) time.Duration {
+	if m.holder == "" || m.holder == m.self || !m.renewedSinceCaughtUp {
 		return 0
 	}
-	return max(m.seenAt.Add(m.timing.Doubt).Sub(now), 0)
+	return max(m.renewalSeenAt.Add(m.timing.SuspectAfter).Sub(now), 0)
 }
 
-// HandleVerdict takes what asking after a holder told. Where its process seems to have
-// ended, or has yielded, the lease may be claimed; a holder that runs all the same is
-// fenced by the claim.
+// HandleVerdict takes the result of probing a holder. If its process appears to have ended, or has yielded,
+// the lease can be claimed; a holder that runs nevertheless is fenced by the claim.
 func (m *Machine) HandleVerdict(holder string, verdict liveness.Verdict) {
 	if m.holder != holder {
 		return
 	}
 	if verdict == liveness.Unknown {
-		m.silent++
+		m.unanswered++
 		return
 	}
-	m.silent = 0
-	m.ended = m.ended || verdict != liveness.Alive
-	m.certain = m.certain || verdict == liveness.Replaced || verdict == liveness.Yielded
-	m.yields = m.yields || verdict == liveness.Yielded
+	m.unanswered = 0
+	m.holderEnded = m.holderEnded || verdict != liveness.Alive
+	m.endConfirmed = m.endConfirmed || verdict == liveness.Replaced || verdict == liveness.Yielded
+	m.holderYielded = m.holderYielded || verdict == liveness.Yielded
 }
 
-// GiveUp notes that this process has yielded the lease of an epoch. It acts on it no more,
-// and releases it if nobody has claimed it.
-func (m *Machine) GiveUp(epoch int64) { m.gaveUp = epoch }
+// NoteYielded records that this process has yielded the lease of an epoch. It no longer acts on the lease
+// and releases it unless another process has claimed it.
+func (m *Machine) NoteYielded(epoch int64) { m.yieldedEpoch = epoch }
 
-// Epoch returns that of the lease, as far as was read.
+// Epoch returns the epoch of the lease, according to the records read so far.
 func (m *Machine) Epoch() int64 { return m.epoch }
 
-// After a release the youngest processes claim first: where nodes are stopped and
-// started in turn, they are the ones that are not stopped next.
+// After a release the youngest processes claim first: in a rolling restart they are the ones that are not
+// stopped next.
 const (
-	claimDelayShare = 100
-	claimDelayMost  = 400 * time.Millisecond
+	claimDelayDivisor = 100
+	maxClaimDelay     = 400 * time.Millisecond
 )
 
-// ClaimIn returns how long this process leaves a free lease to others.
+// ClaimIn returns how long this process still leaves a claimable lease to others.
 func (m *Machine) ClaimIn(now time.Time) time.Duration {
 	var claimAt time.Time
-	if !m.freeAt.IsZero() {
-		claimAt = m.freeAt.Add(m.timing.Handicap)
+	if !m.claimableSince.IsZero() {
+		claimAt = m.claimableSince.Add(m.timing.ClaimDelay)
 	}
 	if !m.releasedAt.IsZero() {
-		delay := min(m.releasedAt.Sub(m.startedAt)/claimDelayShare, claimDelayMost)
+		delay := min(m.releasedAt.Sub(m.startedAt)/claimDelayDivisor, maxClaimDelay)
 		claimAt = later(claimAt, m.releasedAt.Add(delay))
 	}
 	if claimAt.IsZero() {
@@ -387,27 +388,27 @@
 	return b
 }
 
-// Predecessor returns the process before, while this one holds a lease on which that
-// process may still act.
+// Predecessor returns the predecessor while this process holds a lease on which the predecessor may still
+// act.
 func (m *Machine) Predecessor() (holder, address string, mayAct bool) {
-	mayAct = m.holder == m.self && m.held.Epoch == m.epoch && m.held.Contested && m.predecessorAddress != ""
+	mayAct = m.holder == m.self && m.ownLease.Epoch == m.epoch && m.ownLease.Contested && m.predecessorAddress != ""
 	return m.predecessor, m.predecessorAddress, mayAct
 }
 
-// HandlePredecessorReplaced notes that a later process of its node answered for the
-// predecessor: it acts no more.
+// HandlePredecessorReplaced records that a later process of the predecessor's node has answered: the
+// predecessor no longer acts.
 func (m *Machine) HandlePredecessorReplaced(predecessor string) {
 	if m.predecessor == predecessor {
-		m.contested, m.held.Contested = false, false
+		m.contested, m.ownLease.Contested = false, false
 	}
 }
 
 func (m *Machine) expired(now time.Time) bool {
-	lasts := m.timing.TTL
-	if m.timing.SilentTTL > 0 && m.silent >= silentAnswers {
-		lasts = m.timing.SilentTTL
+	ttl := m.timing.TTL
+	if m.timing.UnresponsiveTTL > 0 && m.unanswered >= minUnanswered {
+		ttl = m.timing.UnresponsiveTTL
 	}
-	return now.Sub(m.seenAt) > lasts && now.Sub(m.readFailedAt) > lasts
+	return now.Sub(m.renewalSeenAt) > ttl && now.Sub(m.readFailedAt) > ttl
 }
 
 func (m *Machine) append(e entry, renews bool) *Append {
@@ -415,10 +416,10 @@
 	if err != nil {
 		panic(err) // an entry holds only text and numbers
 	}
-	return &Append{End: m.end, Payload: payload, Renews: renews, news: e.News}
+	return &Append{ExpectedEnd: m.end, Payload: payload, Renews: renews, announcement: e.News}
 }
 
-// HandleAppended notes that an append which was sent at sentAt stands at offset.
+// HandleAppended records that an append sent at sentAt was stored at offset.
 func (m *Machine) HandleAppended(now, sentAt time.Time, appended *Append, offset int64) {
 	if err := m.HandleRecord(now, offset, appended.Payload); err != nil {
 		return
@@ -426,12 +427,12 @@
 	if m.holder != m.self {
 		return
 	}
-	if m.held.Epoch != m.epoch || m.held.ClaimedAt.IsZero() {
-		m.held = Lease{Epoch: m.epoch, ClaimedAt: now, Succeeded: m.succeeded, Contested: m.contested, Yielded: m.yielded}
+	if m.ownLease.Epoch != m.epoch || m.ownLease.ClaimedAt.IsZero() {
+		m.ownLease = Lease{Epoch: m.epoch, ClaimedAt: now, HasPredecessor: m.hasPredecessor, Contested: m.contested, Yielded: m.predecessorLease}
 	}
-	if appended.news != nil {
-		m.told = appended.news.Next
+	if appended.announcement != nil {
+		m.announcedNext = appended.announcement.Next
 	}
 	m.renewedAt = sentAt
-	m.held.Until = sentAt.Add(m.timing.TTL - m.timing.Margin)
+	m.ownLease.ExpiresAt = sentAt.Add(m.timing.TTL - m.timing.SafetyMargin)
 }
--- a/internal/election/machine_test.go
+++ b/internal/election/machine_test.go
@@ -11,380 +11,380 @@
 	"dalehook/internal/liveness"
 )
 
-var testTiming = Timing{TTL: 2 * time.Second, Renewal: 500 * time.Millisecond, Doubt: 800 * time.Millisecond, Margin: 200 * time.Millisecond}
+var testTiming = Timing{TTL: 2 * time.Second, RenewInterval: 500 * time.Millisecond, SuspectAfter: 800 * time.Millisecond, SafetyMargin: 200 * time.Millisecond}
 
-// world is a partition and the machines that read it, on a clock of its own.
-type world struct {
+// testCluster is a simulated partition and the machines that read it, with a simulated clock.
+type testCluster struct {
 	now      time.Time
 	log      [][]byte
 	machines []*Machine
-	// offsets of what each machine read is the machine's own End.
+	// The position of each machine in the log is its own NextOffset.
 }
 
-func newWorld(count int) *world {
-	w := &world{now: time.Unix(1000, 0)}
+func newTestCluster(count int) *testCluster {
+	c := &testCluster{now: time.Unix(1000, 0)}
 	for i := range count {
-		w.machines = append(w.machines, NewMachine(w.now, fmt.Sprint("node-", i), fmt.Sprint("address-", i), testTiming))
+		c.machines = append(c.machines, NewMachine(c.now, fmt.Sprint("node-", i), fmt.Sprint("address-", i), testTiming))
 	}
-	return w
+	return c
 }
 
-func (w *world) read(m *Machine) {
-	for m.End() < int64(len(w.log)) {
-		if err := m.HandleRecord(w.now, m.End(), w.log[m.End()]); err != nil {
+func (c *testCluster) read(m *Machine) {
+	for m.NextOffset() < int64(len(c.log)) {
+		if err := m.HandleRecord(c.now, m.NextOffset(), c.log[m.NextOffset()]); err != nil {
 			panic(err)
 		}
 	}
 }
 
-// write carries out a conditional append; its answer may be lost.
-func (w *world) write(m *Machine, lost bool) {
-	wanted := m.Tick(w.now)
-	if wanted == nil || wanted.End != int64(len(w.log)) {
+// write performs a conditional append; its answer may be lost.
+func (c *testCluster) write(m *Machine, lost bool) {
+	pending := m.Tick(c.now)
+	if pending == nil || pending.ExpectedEnd != int64(len(c.log)) {
 		return
 	}
-	w.log = append(w.log, wanted.Payload)
+	c.log = append(c.log, pending.Payload)
 	if !lost {
-		m.HandleAppended(w.now, w.now, wanted, wanted.End)
+		m.HandleAppended(c.now, c.now, pending, pending.ExpectedEnd)
 	}
 }
 
-func (w *world) step(m *Machine) {
-	w.read(m)
-	w.write(m, false)
+func (c *testCluster) step(m *Machine) {
+	c.read(m)
+	c.write(m, false)
 }
 
-func (w *world) held() []string {
+func (c *testCluster) holders() []string {
 	var holders []string
-	for _, m := range w.machines {
-		if _, held := m.Held(w.now); held {
+	for _, m := range c.machines {
+		if _, held := m.Held(c.now); held {
 			holders = append(holders, m.self)
 		}
 	}
 	return holders
 }
 
-func TestOneNodeTakesTheLease(t *testing.T) {
-	w := newWorld(3)
-	for _, m := range w.machines {
-		w.step(m)
+func TestOneNodeTakesLease(t *testing.T) {
+	c := newTestCluster(3)
+	for _, m := range c.machines {
+		c.step(m)
 	}
 	for range 20 {
-		w.now = w.now.Add(300 * time.Millisecond)
-		for _, m := range w.machines {
-			w.step(m)
+		c.now = c.now.Add(300 * time.Millisecond)
+		for _, m := range c.machines {
+			c.step(m)
 		}
 	}
-	if got := w.held(); len(got) != 1 || got[0] != "node-0" {
+	if got := c.holders(); len(got) != 1 || got[0] != "node-0" {
 		t.Errorf("held by %v", got)
 	}
-	lease, _ := w.machines[0].Held(w.now)
-	if lease.Succeeded {
-		t.Error("the first lease has a predecessor")
+	lease, _ := c.machines[0].Held(c.now)
+	if lease.HasPredecessor {
+		t.Error("the first lease is marked as having a predecessor")
 	}
 }
 
-func TestASilentHolderIsSucceeded(t *testing.T) {
-	w := newWorld(2)
-	w.step(w.machines[0])
-	w.step(w.machines[1])
-	first, _ := w.machines[0].Held(w.now)
-	w.now = w.now.Add(testTiming.TTL + time.Millisecond)
-	w.step(w.machines[1])
-	second, held := w.machines[1].Held(w.now)
-	if !held || !second.Succeeded || second.Epoch <= first.Epoch {
+func TestExpiredHolderIsReplaced(t *testing.T) {
+	c := newTestCluster(2)
+	c.step(c.machines[0])
+	c.step(c.machines[1])
+	first, _ := c.machines[0].Held(c.now)
+	c.now = c.now.Add(testTiming.TTL + time.Millisecond)
+	c.step(c.machines[1])
+	second, held := c.machines[1].Held(c.now)
+	if !held || !second.HasPredecessor || second.Epoch <= first.Epoch {
 		t.Fatalf("held %v, %+v after %+v", held, second, first)
 	}
-	// The paused holder wakes: it neither holds the lease nor can it renew.
-	if _, held := w.machines[0].Held(w.now); held {
+	// The paused holder resumes: it neither holds the lease nor can renew it.
+	if _, held := c.machines[0].Held(c.now); held {
 		t.Error("the paused holder still holds the lease")
 	}
-	before := len(w.log)
-	w.write(w.machines[0], false)
-	if len(w.log) != before {
-		t.Error("the paused holder wrote")
+	before := len(c.log)
+	c.write(c.machines[0], false)
+	if len(c.log) != before {
+		t.Error("the paused holder appended a record")
 	}
-	w.read(w.machines[0])
-	if w.machines[0].Standing(w.now).Leading {
+	c.read(c.machines[0])
+	if c.machines[0].State(c.now).Leading {
 		t.Error("the paused holder still leads")
 	}
 }
 
-func TestTimeWithoutTheStoreDoesNotCount(t *testing.T) {
-	w := newWorld(2)
-	w.step(w.machines[0])
-	w.step(w.machines[1])
-	w.now = w.now.Add(10 * time.Second)
-	w.machines[1].HandleReadFailure(w.now)
-	w.now = w.now.Add(testTiming.TTL / 2)
-	w.step(w.machines[1])
-	if _, held := w.machines[1].Held(w.now); held {
+func TestStoreOutageDoesNotCountAgainstHolder(t *testing.T) {
+	c := newTestCluster(2)
+	c.step(c.machines[0])
+	c.step(c.machines[1])
+	c.now = c.now.Add(10 * time.Second)
+	c.machines[1].HandleReadFailure(c.now)
+	c.now = c.now.Add(testTiming.TTL / 2)
+	c.step(c.machines[1])
+	if _, held := c.machines[1].Held(c.now); held {
 		t.Error("the lease was claimed before its holder could renew")
 	}
 }
 
-func TestAClaimWhoseAnswerIsLostIsKept(t *testing.T) {
-	w := newWorld(1)
-	w.read(w.machines[0])
-	w.write(w.machines[0], true)
-	if _, held := w.machines[0].Held(w.now); held {
+func TestClaimWithLostAnswerIsKept(t *testing.T) {
+	c := newTestCluster(1)
+	c.read(c.machines[0])
+	c.write(c.machines[0], true)
+	if _, held := c.machines[0].Held(c.now); held {
 		t.Fatal("held without an answer")
 	}
-	w.step(w.machines[0])
-	if _, held := w.machines[0].Held(w.now); !held {
-		t.Error("the own claim was not found")
+	c.step(c.machines[0])
+	if _, held := c.machines[0].Held(c.now); !held {
+		t.Error("the machine did not find its own claim in the log")
 	}
 }
 
-func TestALeavingHolderReleases(t *testing.T) {
-	w := newWorld(2)
-	w.step(w.machines[0])
-	w.machines[0].Leave()
-	w.step(w.machines[0])
-	w.step(w.machines[1])
-	if got := w.held(); len(got) != 1 || got[0] != "node-1" {
+func TestResigningHolderReleasesLease(t *testing.T) {
+	c := newTestCluster(2)
+	c.step(c.machines[0])
+	c.machines[0].Resign()
+	c.step(c.machines[0])
+	c.step(c.machines[1])
+	if got := c.holders(); len(got) != 1 || got[0] != "node-1" {
 		t.Errorf("held by %v", got)
 	}
-	if lease, _ := w.machines[1].Held(w.now); lease.Contested {
-		t.Error("a released lease is contested")
+	if lease, _ := c.machines[1].Held(c.now); lease.Contested {
+		t.Error("a claim after a release is contested")
 	}
 }
 
-func TestTheYoungestProcessFollowsARelease(t *testing.T) {
-	w := newWorld(2)
-	w.step(w.machines[0])
-	w.now = w.now.Add(30 * time.Second)
-	young := NewMachine(w.now, "young", "", testTiming)
-	w.machines = append(w.machines, young)
-	w.step(w.machines[0])
-	w.now = w.now.Add(time.Second)
-	w.machines[0].Leave()
-	w.step(w.machines[0])
-	w.step(w.machines[1])
-	if got := w.held(); len(got) != 0 {
-		t.Fatalf("an old process claimed at once: %v", got)
-	}
-	w.step(young)
-	if got := w.held(); len(got) != 0 {
-		t.Fatalf("claimed before its time: %v", got)
-	}
-	w.now = w.now.Add(young.ClaimIn(w.now))
-	w.step(w.machines[1])
-	w.step(young)
-	if got := w.held(); len(got) != 1 || got[0] != "young" {
+func TestYoungestProcessClaimsAfterRelease(t *testing.T) {
+	c := newTestCluster(2)
+	c.step(c.machines[0])
+	c.now = c.now.Add(30 * time.Second)
+	young := NewMachine(c.now, "young", "", testTiming)
+	c.machines = append(c.machines, young)
+	c.step(c.machines[0])
+	c.now = c.now.Add(time.Second)
+	c.machines[0].Resign()
+	c.step(c.machines[0])
+	c.step(c.machines[1])
+	if got := c.holders(); len(got) != 0 {
+		t.Fatalf("an old process claimed immediately: %v", got)
+	}
+	c.step(young)
+	if got := c.holders(); len(got) != 0 {
+		t.Fatalf("claimed before its claim delay was over: %v", got)
+	}
+	c.now = c.now.Add(young.ClaimIn(c.now))
+	c.step(c.machines[1])
+	c.step(young)
+	if got := c.holders(); len(got) != 1 || got[0] != "young" {
 		t.Errorf("held by %v", got)
 	}
 }
 
-func TestASuccessorKnowsWhetherItsPredecessorMayAct(t *testing.T) {
-	w := newWorld(2)
-	w.step(w.machines[0])
-	w.step(w.machines[1])
-	w.now = w.now.Add(testTiming.Doubt + time.Millisecond)
-	w.machines[1].HandleVerdict("node-0", liveness.Replaced)
-	w.step(w.machines[1])
-	if lease, held := w.machines[1].Held(w.now); !held || lease.Contested || !lease.Succeeded {
-		t.Errorf("after a process that was replaced: held %v, %+v", held, lease)
+func TestReplacedPredecessorDoesNotContestLease(t *testing.T) {
+	c := newTestCluster(2)
+	c.step(c.machines[0])
+	c.step(c.machines[1])
+	c.now = c.now.Add(testTiming.SuspectAfter + time.Millisecond)
+	c.machines[1].HandleVerdict("node-0", liveness.Replaced)
+	c.step(c.machines[1])
+	if lease, held := c.machines[1].Held(c.now); !held || lease.Contested || !lease.HasPredecessor {
+		t.Errorf("after a replaced predecessor: held %v, %+v", held, lease)
 	}
 }
 
-func TestAContestedLeaseIsSettledByALaterProcessOfThePredecessor(t *testing.T) {
-	w := newWorld(2)
-	w.step(w.machines[0])
-	w.step(w.machines[1])
-	w.now = w.now.Add(testTiming.Doubt + time.Millisecond)
-	w.machines[1].HandleVerdict("node-0", liveness.Refused)
-	w.step(w.machines[1])
-	if lease, held := w.machines[1].Held(w.now); !held || !lease.Contested {
+func TestLaterProcessOfPredecessorResolvesContestedLease(t *testing.T) {
+	c := newTestCluster(2)
+	c.step(c.machines[0])
+	c.step(c.machines[1])
+	c.now = c.now.Add(testTiming.SuspectAfter + time.Millisecond)
+	c.machines[1].HandleVerdict("node-0", liveness.Refused)
+	c.step(c.machines[1])
+	if lease, held := c.machines[1].Held(c.now); !held || !lease.Contested {
 		t.Fatalf("held %v, %+v", held, lease)
 	}
-	predecessor, address, mayAct := w.machines[1].Predecessor()
+	predecessor, address, mayAct := c.machines[1].Predecessor()
 	if predecessor != "node-0" || address != "address-0" || !mayAct {
 		t.Fatalf("predecessor %q at %q, may act: %v", predecessor, address, mayAct)
 	}
-	w.machines[1].HandlePredecessorReplaced("node-7")
-	if lease, _ := w.machines[1].Held(w.now); !lease.Contested {
-		t.Fatal("settled by a process that never held the lease")
+	c.machines[1].HandlePredecessorReplaced("node-7")
+	if lease, _ := c.machines[1].Held(c.now); !lease.Contested {
+		t.Fatal("contest resolved by a process that never held the lease")
 	}
-	w.machines[1].HandlePredecessorReplaced(predecessor)
-	if lease, held := w.machines[1].Held(w.now); !held || lease.Contested || !lease.Succeeded {
+	c.machines[1].HandlePredecessorReplaced(predecessor)
+	if lease, held := c.machines[1].Held(c.now); !held || lease.Contested || !lease.HasPredecessor {
 		t.Errorf("held %v, %+v", held, lease)
 	}
-	if _, _, mayAct := w.machines[1].Predecessor(); mayAct {
-		t.Error("a predecessor that was replaced may still act")
+	if _, _, mayAct := c.machines[1].Predecessor(); mayAct {
+		t.Error("a replaced predecessor is still considered able to act")
 	}
 }
 
-func TestAProcessWithAHandicapClaimsLast(t *testing.T) {
-	w := newWorld(1)
+func TestProcessWithClaimDelayClaimsLast(t *testing.T) {
+	c := newTestCluster(1)
 	slow := testTiming
-	slow.Handicap = 300 * time.Millisecond
-	w.machines = append([]*Machine{NewMachine(w.now, "slow", "", slow)}, w.machines...)
-	w.step(w.machines[0])
-	if got := w.held(); len(got) != 0 {
-		t.Fatalf("claimed at once: %v", got)
+	slow.ClaimDelay = 300 * time.Millisecond
+	c.machines = append([]*Machine{NewMachine(c.now, "slow", "", slow)}, c.machines...)
+	c.step(c.machines[0])
+	if got := c.holders(); len(got) != 0 {
+		t.Fatalf("claimed without its delay: %v", got)
 	}
-	if wait := w.machines[0].ClaimIn(w.now); wait != slow.Handicap {
+	if wait := c.machines[0].ClaimIn(c.now); wait != slow.ClaimDelay {
 		t.Errorf("claims in %v", wait)
 	}
-	w.now = w.now.Add(slow.Handicap)
-	w.step(w.machines[0])
-	if got := w.held(); len(got) != 1 || got[0] != "slow" {
-		t.Fatalf("the only process does not claim: %v", got)
+	c.now = c.now.Add(slow.ClaimDelay)
+	c.step(c.machines[0])
+	if got := c.holders(); len(got) != 1 || got[0] != "slow" {
+		t.Fatalf("the only process did not claim after its delay: %v", got)
 	}
 }
 
-func TestAHolderThatEndedIsSucceededAtOnce(t *testing.T) {
-	w := newWorld(2)
-	w.step(w.machines[0])
-	w.step(w.machines[1])
-	if _, _, doubtful := w.machines[1].Doubtful(w.now); !doubtful {
-		t.Fatal("a holder that was not heard of since the start is not in doubt")
-	}
-	w.now = w.now.Add(testTiming.Renewal)
-	w.step(w.machines[0])
-	w.step(w.machines[1])
-	if _, _, doubtful := w.machines[1].Doubtful(w.now); doubtful {
-		t.Fatal("a holder that was just heard of is in doubt")
-	}
-	w.now = w.now.Add(testTiming.Doubt + time.Millisecond)
-	holder, address, doubtful := w.machines[1].Doubtful(w.now)
-	if !doubtful || holder != "node-0" || address != "address-0" {
-		t.Fatalf("in doubt: %v, %s at %s", doubtful, holder, address)
-	}
-	w.machines[1].HandleVerdict(holder, liveness.Refused)
-	w.step(w.machines[1])
-	lease, held := w.machines[1].Held(w.now)
-	if !held || !lease.Succeeded || !lease.Contested {
+func TestEndedHolderIsReplacedImmediately(t *testing.T) {
+	c := newTestCluster(2)
+	c.step(c.machines[0])
+	c.step(c.machines[1])
+	if _, _, suspect := c.machines[1].Suspect(c.now); !suspect {
+		t.Fatal("a holder without a renewal since the start is not suspect")
+	}
+	c.now = c.now.Add(testTiming.RenewInterval)
+	c.step(c.machines[0])
+	c.step(c.machines[1])
+	if _, _, suspect := c.machines[1].Suspect(c.now); suspect {
+		t.Fatal("a holder that has just renewed is suspect")
+	}
+	c.now = c.now.Add(testTiming.SuspectAfter + time.Millisecond)
+	holder, address, suspect := c.machines[1].Suspect(c.now)
+	if !suspect || holder != "node-0" || address != "address-0" {
+		t.Fatalf("suspect: %v, %s at %s", suspect, holder, address)
+	}
+	c.machines[1].HandleVerdict(holder, liveness.Refused)
+	c.step(c.machines[1])
+	lease, held := c.machines[1].Held(c.now)
+	if !held || !lease.HasPredecessor || !lease.Contested {
 		t.Errorf("held %v, %+v", held, lease)
 	}
 }
 
-func TestARenewalClearsTheDoubt(t *testing.T) {
-	w := newWorld(2)
-	w.step(w.machines[0])
-	w.step(w.machines[1])
-	w.machines[1].HandleVerdict("node-0", liveness.Replaced)
-	w.now = w.now.Add(testTiming.Renewal)
-	w.step(w.machines[0])
-	w.step(w.machines[1])
-	if got := w.held(); len(got) != 1 || got[0] != "node-0" {
+func TestRenewalClearsSuspicion(t *testing.T) {
+	c := newTestCluster(2)
+	c.step(c.machines[0])
+	c.step(c.machines[1])
+	c.machines[1].HandleVerdict("node-0", liveness.Replaced)
+	c.now = c.now.Add(testTiming.RenewInterval)
+	c.step(c.machines[0])
+	c.step(c.machines[1])
+	if got := c.holders(); len(got) != 1 || got[0] != "node-0" {
 		t.Errorf("held by %v", got)
 	}
 }
 
-// A holder that runs but can not reach the store yields: it acts no more, and its successor
-// need not wait.
-func TestAHolderThatYieldsIsSucceededAtOnce(t *testing.T) {
-	w := newWorld(2)
-	w.step(w.machines[0])
-	w.step(w.machines[1])
-	w.now = w.now.Add(testTiming.Doubt + time.Millisecond)
-	epoch := w.machines[1].Epoch()
-	w.machines[0].GiveUp(epoch)
-	if standing := w.machines[0].Standing(w.now); standing.Held || standing.Leading {
-		t.Errorf("a holder that yielded stands %+v", standing)
-	}
-	w.machines[1].HandleVerdict("node-0", liveness.Yielded)
-	w.step(w.machines[1])
-	lease, held := w.machines[1].Held(w.now)
-	if !held || lease.Contested || lease.Yielded != (Yielded{Address: "address-0", Epoch: epoch}) {
+// A holder that runs but cannot reach the store yields: it stops acting on the lease, so its successor need
+// not wait.
+func TestYieldingHolderIsReplacedImmediately(t *testing.T) {
+	c := newTestCluster(2)
+	c.step(c.machines[0])
+	c.step(c.machines[1])
+	c.now = c.now.Add(testTiming.SuspectAfter + time.Millisecond)
+	epoch := c.machines[1].Epoch()
+	c.machines[0].NoteYielded(epoch)
+	if state := c.machines[0].State(c.now); state.Held || state.Leading {
+		t.Errorf("state of a holder that yielded: %+v", state)
+	}
+	c.machines[1].HandleVerdict("node-0", liveness.Yielded)
+	c.step(c.machines[1])
+	lease, held := c.machines[1].Held(c.now)
+	if !held || lease.Contested || lease.Yielded != (YieldedLease{Address: "address-0", Epoch: epoch}) {
 		t.Errorf("held %v, %+v", held, lease)
 	}
-	w.step(w.machines[0])
-	if got := w.held(); len(got) != 1 || got[0] != "node-1" {
+	c.step(c.machines[0])
+	if got := c.holders(); len(got) != 1 || got[0] != "node-1" {
 		t.Errorf("held by %v", got)
 	}
 }
 
-func TestAHolderThatYieldedReleasesWhatNobodyClaims(t *testing.T) {
-	w := newWorld(2)
-	w.step(w.machines[0])
-	w.machines[0].GiveUp(w.machines[0].Epoch())
-	w.now = w.now.Add(testTiming.Renewal)
-	w.step(w.machines[0])
-	w.step(w.machines[1])
-	w.now = w.now.Add(claimDelayMost)
-	w.step(w.machines[1])
-	if got := w.held(); len(got) != 1 || got[0] != "node-1" {
+func TestYieldedLeaseIsReleasedIfUnclaimed(t *testing.T) {
+	c := newTestCluster(2)
+	c.step(c.machines[0])
+	c.machines[0].NoteYielded(c.machines[0].Epoch())
+	c.now = c.now.Add(testTiming.RenewInterval)
+	c.step(c.machines[0])
+	c.step(c.machines[1])
+	c.now = c.now.Add(maxClaimDelay)
+	c.step(c.machines[1])
+	if got := c.holders(); len(got) != 1 || got[0] != "node-1" {
 		t.Errorf("held by %v", got)
 	}
 }
 
-func TestAHolderWhoseNodeDoesNotAnswerIsSucceededSooner(t *testing.T) {
+func TestUnresponsiveHolderIsReplacedSooner(t *testing.T) {
 	for _, verdicts := range [][]liveness.Verdict{
 		{liveness.Unknown, liveness.Unknown},
 		{liveness.Unknown},
 		{liveness.Unknown, liveness.Alive, liveness.Unknown},
 	} {
-		w := newWorld(2)
-		for _, m := range w.machines {
-			m.timing.SilentTTL = time.Second
+		c := newTestCluster(2)
+		for _, m := range c.machines {
+			m.timing.UnresponsiveTTL = time.Second
 		}
-		w.step(w.machines[0])
-		w.step(w.machines[1])
-		w.now = w.now.Add(time.Second + time.Millisecond)
+		c.step(c.machines[0])
+		c.step(c.machines[1])
+		c.now = c.now.Add(time.Second + time.Millisecond)
 		for _, verdict := range verdicts {
-			w.machines[1].HandleVerdict("node-0", verdict)
+			c.machines[1].HandleVerdict("node-0", verdict)
 		}
-		w.step(w.machines[1])
-		lease, held := w.machines[1].Held(w.now)
+		c.step(c.machines[1])
+		lease, held := c.machines[1].Held(c.now)
 		if want := len(verdicts) == 2; held != want || held && !lease.Contested {
 			t.Errorf("%v: held %v, %+v", verdicts, held, lease)
 		}
 	}
 }
 
-// Whatever is lost, paused or late, two nodes never hold the lease at once.
-func TestTheLeaseHasOneHolder(t *testing.T) {
+// Whatever is lost, paused or delayed, two nodes never hold the lease at the same time.
+func TestLeaseHasAtMostOneHolder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(3)
+		c := newTestCluster(3)
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
-			m := w.machines[rapid.IntRange(0, 2).Draw(t, "machine")]
+			m := c.machines[rapid.IntRange(0, 2).Draw(t, "machine")]
 			switch rapid.IntRange(0, 4).Draw(t, "action") {
 			case 0:
-				w.now = w.now.Add(time.Duration(rapid.IntRange(1, 2600).Draw(t, "ms")) * time.Millisecond)
+				c.now = c.now.Add(time.Duration(rapid.IntRange(1, 2600).Draw(t, "ms")) * time.Millisecond)
 			case 1:
-				w.read(m)
+				c.read(m)
 			case 2:
-				w.write(m, rapid.Bool().Draw(t, "lost"))
+				c.write(m, rapid.Bool().Draw(t, "lost"))
 			case 3:
-				w.step(m)
+				c.step(m)
 			case 4:
-				m.HandleReadFailure(w.now)
+				m.HandleReadFailure(c.now)
 			}
-			if got := w.held(); len(got) > 1 {
+			if got := c.holders(); len(got) > 1 {
 				t.Fatalf("held by %v", got)
 			}
 		}
 	})
 }
 
-// A holder is established at processes that found it holding the lease and have heard of it since; not at
-// those that it came after, nor where it may be gone.
-func TestAnEstablishedHolder(t *testing.T) {
-	w := newWorld(2)
-	first, early := w.machines[0], w.machines[1]
-	early.Doubtful(w.now) // it has read the empty log to its end
-	w.step(first)
-	late := NewMachine(w.now, "node-2", "address-2", testTiming)
+// A holder is established for processes that found it holding the lease and have read a renewal since; not
+// for those that were there before it, nor if it may be gone.
+func TestEstablishedHolder(t *testing.T) {
+	c := newTestCluster(2)
+	first, early := c.machines[0], c.machines[1]
+	early.Suspect(c.now) // reads the empty log to its end
+	c.step(first)
+	late := NewMachine(c.now, "node-2", "address-2", testTiming)
 	for _, m := range []*Machine{early, late} {
-		w.read(m)
-		m.Doubtful(w.now)
-		if m.Standing(w.now).Established {
-			t.Errorf("%s has not heard of the holder since it read the log", m.self)
+		c.read(m)
+		m.Suspect(c.now)
+		if m.State(c.now).Established {
+			t.Errorf("%s considers the holder established without a renewal since it read the log", m.self)
 		}
 	}
-	w.now = w.now.Add(testTiming.Renewal)
-	w.step(first)
-	w.read(early)
-	w.read(late)
-	if early.Standing(w.now).Established || !late.Standing(w.now).Established || first.Standing(w.now).Established {
-		t.Errorf("established at the early one %v, the late one %v, the holder %v",
-			early.Standing(w.now).Established, late.Standing(w.now).Established, first.Standing(w.now).Established)
+	c.now = c.now.Add(testTiming.RenewInterval)
+	c.step(first)
+	c.read(early)
+	c.read(late)
+	if early.State(c.now).Established || !late.State(c.now).Established || first.State(c.now).Established {
+		t.Errorf("established for the early process %v, the late one %v, the holder %v",
+			early.State(c.now).Established, late.State(c.now).Established, first.State(c.now).Established)
 	}
 	late.HandleVerdict(first.self, liveness.Refused)
-	if late.Standing(w.now).Established {
-		t.Error("a holder that has ended is established")
+	if late.State(c.now).Established {
+		t.Error("an ended holder is established")
 	}
 }
--- a/internal/election/run.go
+++ b/internal/election/run.go
@@ -14,57 +14,58 @@
 	"dalehook/internal/store"
 )
 
-// The timing of calls to the store.
+// Timing of calls to the store.
 const (
-	// The holder reads often enough to renew in time; the others wait for its next
-	// renewal, and read as often as the holder while it is in doubt.
-	holderWait    = 200 * time.Millisecond
-	followerWait  = 600 * time.Millisecond
-	readTimeout   = 1300 * time.Millisecond
-	appendTimeout = 450 * time.Millisecond
-	retryPause    = 100 * time.Millisecond
-	slowestRead   = time.Second
-	// A holder that may have to yield takes yieldWait to answer.
-	askTimeout = yieldWait + 150*time.Millisecond
+	// The holder reads often enough to renew in time. Followers wait for its next renewal, and read as often as
+	// the holder while it is suspect.
+	holderReadWait   = 200 * time.Millisecond
+	followerReadWait = 600 * time.Millisecond
+	readTimeout      = 1300 * time.Millisecond
+	appendTimeout    = 450 * time.Millisecond
+	retryDelay       = 100 * time.Millisecond
+	maxReadDelay     = time.Second
+	// A holder that may have to yield takes up to yieldWait to answer.
+	probeTimeout = yieldWait + 150*time.Millisecond
 )
 
-// Options configure Run.
+// Options configures Run.
 type Options struct {
 	Log store.Log
-	// Number is the partition of the topic of leases.
+	// Number is the partition number in the topic of leases.
 	Number int
 	Self   string
-	// Address is where this process answers whether it runs.
+	// Address is where this process answers liveness probes.
 	Address string
-	// Ask asks at the node of a holder whether its process runs, and has it yield the
-	// lease of an epoch if it can not reach the store.
-	Ask    func(ctx context.Context, address, holder string, epoch int64) liveness.Verdict
+	// Probe asks a holder's node whether its process runs, and has it yield the lease of an epoch if it cannot
+	// reach the store.
+	Probe  func(ctx context.Context, address, holder string, epoch int64) liveness.Verdict
 	Timing Timing
-	// Hold is told of this process's own lease; it may be nil.
-	Hold   *Hold
-	Logger *zap.Logger
-	// News returns what this node tells the others while it holds the lease, nil for nothing; it may be nil.
-	News func() *News
-	// Observe is told after each step how this node stands.
-	Observe func(Standing)
-	// Leaving is closed when the node is to release the lease for good.
-	Leaving <-chan struct{}
+	// Yielder is kept up to date on this process's own lease; it may be nil.
+	Yielder *Yielder
+	Logger  *zap.Logger
+	// Announcement returns what this node announces while it holds the lease, nil for nothing; the function may
+	// be nil.
+	Announcement func() *Announcement
+	// Observe is called with the node's state after each step.
+	Observe func(State)
+	// Resign is closed when the node is to release the lease for good.
+	Resign <-chan struct{}
 }
 
 // Run takes part in the election until the context ends.
 func Run(ctx context.Context, options Options) {
 	runner := runner{Options: options, machine: NewMachine(clock.Now(), options.Self, options.Address, options.Timing)}
 	runner.outage.Logger = options.Logger
-	runner.at = store.Partition{Topic: store.TopicLeases, Number: options.Number}
-	pace := follow.Pace{Most: slowestRead, Retry: retryPause}
+	runner.partition = store.Partition{Topic: store.TopicLeases, Number: options.Number}
+	pace := follow.Pace{Most: maxReadDelay, Retry: retryDelay}
 	for ctx.Err() == nil {
 		err := runner.step(ctx)
-		runner.outage.Note(err, zap.Stringer("partition", runner.at))
+		runner.outage.Note(err, zap.Stringer("partition", runner.partition))
 		wait := pace.Next(err)
-		if err != nil && runner.holding {
-			// The holder is to be the first that the store answers after an outage, so that
-			// it need not yield; it is only one.
-			wait = retryPause
+		if err != nil && runner.holdsLease {
+			// After an outage the holder is to be the first to get an answer from the store, so that it need not yield.
+			// There is only one holder, so its retries add little load.
+			wait = retryDelay
 		}
 		pause.For(ctx, wait)
 	}
@@ -72,56 +73,56 @@
 
 type runner struct {
 	Options
-	machine *Machine
-	at      store.Partition
-	outage  follow.Outage
-	holding bool
-	// failing says that the last read failed.
-	failing bool
+	machine    *Machine
+	partition  store.Partition
+	outage     follow.Outage
+	holdsLease bool
+	// lastReadFailed is set if the last read failed.
+	lastReadFailed bool
 }
 
 func (r *runner) step(ctx context.Context) error {
 	clock.Refresh()
 	select {
-	case <-r.Leaving:
-		r.machine.Leave()
+	case <-r.Resign:
+		r.machine.Resign()
 	default:
 	}
 	caughtUp, err := r.read(ctx)
 	if err != nil {
 		r.machine.HandleReadFailure(clock.Now())
-		err = errors.Join(err, r.renewUnread(ctx))
-		r.tell()
+		err = errors.Join(err, r.renewWithoutRead(ctx))
+		r.publishState()
 		return err
 	}
-	r.Hold.noteContact(clock.Now())
-	r.machine.GiveUp(r.Hold.yieldedEpoch())
+	r.Yielder.handleStoreContact(clock.Now())
+	r.machine.NoteYielded(r.Yielder.lastYieldedEpoch())
 	if caughtUp {
-		r.ask(ctx)
-		r.askPredecessor(ctx)
+		r.probeHolder(ctx)
+		r.probePredecessor(ctx)
 		err = r.append(ctx)
 	}
-	r.tell()
+	r.publishState()
 	return err
 }
 
 func (r *runner) read(ctx context.Context) (caughtUp bool, err error) {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
-	wait := holderWait
-	if r.failing {
-		// Whether the store answers again is to be known at once.
+	wait := holderReadWait
+	if r.lastReadFailed {
+		// Find out immediately whether the store answers again.
 		wait = 0
 	}
-	if doubtIn := r.machine.DoubtIn(clock.Now()); doubtIn > 0 {
-		wait = min(doubtIn, followerWait)
+	if suspectIn := r.machine.SuspectIn(clock.Now()); suspectIn > 0 {
+		wait = min(suspectIn, followerReadWait)
 	}
 	if claimIn := r.machine.ClaimIn(clock.Now()); claimIn > 0 {
 		wait = min(wait, claimIn)
 	}
-	asked := clock.Now()
-	batch, err := r.Log.Read(ctx, r.at, r.machine.End(), wait)
-	r.failing = err != nil
+	sentAt := clock.Now()
+	batch, err := r.Log.Read(ctx, r.partition, r.machine.NextOffset(), wait)
+	r.lastReadFailed = err != nil
 	var trimmed *store.TrimmedError
 	if errors.As(err, &trimmed) {
 		r.machine.HandleTrimmed(trimmed.First)
@@ -133,53 +134,53 @@
 	now := clock.Now()
 	for _, record := range batch.Records {
 		if err := r.machine.HandleRecord(now, record.Offset, record.Value); err != nil {
-			r.Logger.Error("record void", zap.Error(err))
+			r.Logger.Error("invalid lease record", zap.Error(err))
 		}
 	}
-	caughtUp = r.machine.End() >= batch.End
+	caughtUp = r.machine.NextOffset() >= batch.End
 	if caughtUp {
-		r.machine.HandleReadToEnd(now, asked)
+		r.machine.HandleCaughtUp(now, sentAt)
 	}
 	return caughtUp, nil
 }
 
-// ask asks after a holder that was not heard of.
-func (r *runner) ask(ctx context.Context) {
-	holder, address, doubtful := r.machine.Doubtful(clock.Now())
-	if !doubtful || r.Ask == nil {
+// probeHolder probes a holder that is suspect.
+func (r *runner) probeHolder(ctx context.Context) {
+	holder, address, suspect := r.machine.Suspect(clock.Now())
+	if !suspect || r.Probe == nil {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
-	verdict := r.Ask(ctx, address, holder, r.machine.Epoch())
+	verdict := r.Probe(ctx, address, holder, r.machine.Epoch())
 	r.machine.HandleVerdict(holder, verdict)
 	if verdict == liveness.Unknown || verdict == liveness.Alive {
 		return
 	}
-	r.Logger.Info("holder ended", zap.String("holder", holder), zap.Stringer("verdict", verdict), zap.Int64("offset", r.machine.End()))
+	r.Logger.Info("holder ended", zap.String("holder", holder), zap.Stringer("verdict", verdict), zap.Int64("offset", r.machine.NextOffset()))
 }
 
-// askPredecessor asks after a predecessor that may still act on the lease, since
-// orders wait for what is known of it.
-func (r *runner) askPredecessor(ctx context.Context) {
+// probePredecessor probes a predecessor that may still act on the lease, because orders to servers wait
+// until its end is known.
+func (r *runner) probePredecessor(ctx context.Context) {
 	predecessor, address, mayAct := r.machine.Predecessor()
-	if !mayAct || r.Ask == nil {
+	if !mayAct || r.Probe == nil {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
-	if r.Ask(ctx, address, predecessor, 0) == liveness.Replaced {
+	if r.Probe(ctx, address, predecessor, 0) == liveness.Replaced {
 		r.machine.HandlePredecessorReplaced(predecessor)
-		r.Logger.Info("predecessor ended", zap.String("predecessor", predecessor), zap.Int64("offset", r.machine.End()))
+		r.Logger.Info("predecessor ended", zap.String("predecessor", predecessor), zap.Int64("offset", r.machine.NextOffset()))
 	}
 }
 
-// renewUnread renews a lease that this process holds though its partition could not be read:
-// many nodes may read at once what is large, while appends go through. The record is
-// appended only where the partition ends as it was read.
-func (r *runner) renewUnread(ctx context.Context) error {
-	r.machine.GiveUp(r.Hold.yieldedEpoch())
-	if !r.machine.Standing(clock.Now()).Leading {
+// renewWithoutRead renews a lease held by this process although its partition could not be read: many nodes
+// reading large records at once can block reads while appends succeed. The append still requires that the
+// partition ends where this process last read it.
+func (r *runner) renewWithoutRead(ctx context.Context) error {
+	r.machine.NoteYielded(r.Yielder.lastYieldedEpoch())
+	if !r.machine.State(clock.Now()).Leading {
 		return nil
 	}
 	return r.append(ctx)
@@ -187,16 +188,16 @@
 
 func (r *runner) append(ctx context.Context) error {
 	sentAt := clock.Now()
-	if r.News != nil {
-		r.machine.SetNews(r.News())
+	if r.Announcement != nil {
+		r.machine.SetAnnouncement(r.Announcement())
 	}
-	wanted := r.machine.Tick(sentAt)
-	if wanted == nil {
+	pending := r.machine.Tick(sentAt)
+	if pending == nil {
 		return nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, appendTimeout)
 	defer cancel()
-	offset, err := r.Log.AppendAt(ctx, r.at, wanted.End, [][]byte{wanted.Payload})
+	offset, err := r.Log.AppendAt(ctx, r.partition, pending.ExpectedEnd, [][]byte{pending.Payload})
 	var condition *store.ConditionError
 	if errors.As(err, &condition) {
 		return nil // the record of another node is read next
@@ -205,25 +206,25 @@
 		return err
 	}
 	now := clock.Now()
-	r.Hold.noteContact(now)
-	r.machine.HandleAppended(now, sentAt, wanted, offset)
+	r.Yielder.handleStoreContact(now)
+	r.machine.HandleAppended(now, sentAt, pending, offset)
 	return nil
 }
 
-// tell reports the lease and logs when it is taken or lost.
-func (r *runner) tell() {
-	r.machine.GiveUp(r.Hold.yieldedEpoch())
-	standing := r.machine.Standing(clock.Now())
-	lease := standing.Lease
-	r.Hold.noteStanding(standing)
-	if standing.Held != r.holding {
-		r.holding = standing.Held
-		word := "lease lost"
-		if standing.Held {
-			word = "lease taken"
+// publishState reports the state to its observers and logs when the lease is taken or lost.
+func (r *runner) publishState() {
+	r.machine.NoteYielded(r.Yielder.lastYieldedEpoch())
+	state := r.machine.State(clock.Now())
+	lease := state.Lease
+	r.Yielder.handleState(state)
+	if state.Held != r.holdsLease {
+		r.holdsLease = state.Held
+		message := "lease lost"
+		if state.Held {
+			message = "lease taken"
 		}
-		r.Logger.Info(word, zap.Int64("epoch", lease.Epoch), zap.String("holder", r.machine.Holder()),
-			zap.Bool("succeeded", lease.Succeeded), zap.Bool("contested", lease.Contested), zap.Int64("offset", r.machine.End()))
+		r.Logger.Info(message, zap.Int64("epoch", lease.Epoch), zap.String("holder", r.machine.Holder()),
+			zap.Bool("succeeded", lease.HasPredecessor), zap.Bool("contested", lease.Contested), zap.Int64("offset", r.machine.NextOffset()))
 	}
-	r.Observe(standing)
+	r.Observe(state)
 }
--- a/internal/election/run_test.go
+++ b/internal/election/run_test.go
@@ -12,27 +12,27 @@
 	"dalehook/internal/store/storetest"
 )
 
-// timing is that of the product, but for the holder's doubters, of whom there are none.
-var timing = Timing{TTL: 2500 * time.Millisecond, Renewal: 500 * time.Millisecond, Margin: 200 * time.Millisecond}
+// timing has the production values, except that nobody suspects the holder.
+var timing = Timing{TTL: 2500 * time.Millisecond, RenewInterval: 500 * time.Millisecond, SafetyMargin: 200 * time.Millisecond}
 
-// slowReads is a store whose reads get no answer while it is to.
-type slowReads struct {
+// unresponsiveReads is a store whose reads do not return while blocked is set.
+type unresponsiveReads struct {
 	*storetest.Memory
-	silent atomic.Bool
+	blocked atomic.Bool
 }
 
-func (s *slowReads) Read(ctx context.Context, at store.Partition, from int64, wait time.Duration) (store.Batch, error) {
-	if s.silent.Load() {
+func (s *unresponsiveReads) Read(ctx context.Context, at store.Partition, from int64, wait time.Duration) (store.Batch, error) {
+	if s.blocked.Load() {
 		<-ctx.Done()
 		return store.Batch{}, ctx.Err()
 	}
 	return s.Memory.Read(ctx, at, from, wait)
 }
 
-// A holder whose reads wait behind those of many nodes keeps its lease as long as the store
-// takes its renewals.
-func TestALeaseIsRenewedWithoutReads(t *testing.T) {
-	log := &slowReads{Memory: storetest.NewMemory()}
+// A holder whose reads queue behind those of many nodes must keep its lease as long as the store accepts
+// its renewals.
+func TestLeaseIsRenewedWithoutReads(t *testing.T) {
+	log := &unresponsiveReads{Memory: storetest.NewMemory()}
 	ctx, cancel := context.WithCancel(context.Background())
 	var held atomic.Bool
 	var lost atomic.Int64
@@ -40,9 +40,9 @@
 	go func() {
 		defer close(ended)
 		Run(ctx, Options{
-			Log: log, Self: "node-0/1", Address: "address", Timing: timing, Logger: zap.NewNop(), Leaving: make(chan struct{}),
-			Observe: func(standing Standing) {
-				if held.Swap(standing.Held) && !standing.Held {
+			Log: log, Self: "node-0/1", Address: "address", Timing: timing, Logger: zap.NewNop(), Resign: make(chan struct{}),
+			Observe: func(state State) {
+				if held.Swap(state.Held) && !state.Held {
 					lost.Add(1)
 				}
 			},
@@ -55,26 +55,26 @@
 	for end := time.Now().Add(time.Minute); !held.Load() && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
-	log.silent.Store(true)
+	log.blocked.Store(true)
 	time.Sleep(2 * timing.TTL)
 	if !held.Load() || lost.Load() > 0 {
-		t.Errorf("held: %v, lost %d times while the store took appends", held.Load(), lost.Load())
+		t.Errorf("held: %v, lost %d times while the store accepted appends", held.Load(), lost.Load())
 	}
 }
 
-// When the store is back for all, its holder is asked to yield by those who got an answer
-// first. It must have had one of its own by then.
-func TestAHolderIsInContactSoonAfterAnOutage(t *testing.T) {
+// After an outage the first nodes to get an answer from the store ask the holder to yield. The holder must
+// have had an answer of its own by then, or leadership would change after every outage.
+func TestHolderIsFirstInContactAfterOutage(t *testing.T) {
 	memory := storetest.NewMemory()
 	ctx, cancel := context.WithCancel(context.Background())
-	hold := &Hold{}
+	yielder := &Yielder{}
 	var epoch atomic.Int64
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
 		Run(ctx, Options{
-			Log: memory, Self: "node-0/1", Address: "address", Timing: timing, Hold: hold, Logger: zap.NewNop(), Leaving: make(chan struct{}),
-			Observe: func(standing Standing) { epoch.Store(standing.Lease.Epoch) },
+			Log: memory, Self: "node-0/1", Address: "address", Timing: timing, Yielder: yielder, Logger: zap.NewNop(), Resign: make(chan struct{}),
+			Observe: func(state State) { epoch.Store(state.Lease.Epoch) },
 		})
 	}()
 	defer func() {
@@ -88,8 +88,8 @@
 		memory.SetFault(storetest.FaultRefuse)
 		time.Sleep(yieldAfter + 300*time.Millisecond)
 		memory.SetFault(storetest.FaultNone)
-		if hold.Yield(epoch.Load()) {
-			t.Fatal("the lease was yielded though the store was back")
+		if yielder.Yield(epoch.Load()) {
+			t.Fatal("the lease was yielded although the store had recovered")
 		}
 	}
 }
--- a/internal/election/stall_test.go
+++ b/internal/election/stall_test.go
@@ -17,48 +17,46 @@
 	"dalehook/internal/store/storetest"
 )
 
-// The bounds of a fleet whose processes stand still now and then, as those do that share too few
-// processors.
+// A fleet whose processes stall now and then, as processes do that share too few processors.
 const (
-	stallNodes = 40
-	stallTime  = time.Minute
-	// A process runs for stallEvery on average between two times at which it stands still, each
-	// between stallLeast and stallMost.
-	stallEvery = 3 * time.Second
-	stallLeast = 100 * time.Millisecond
-	stallMost  = 2 * time.Second
-	stallLook  = 20 * time.Millisecond
-	// longestAlone is how long the fleet may be without a process that leads and runs: the
-	// longest stall of the holder, the doubt that follows, two questions to it without an answer
-	// and the claim, in which the successor stands still, too.
-	longestAlone = 4 * time.Second
+	fleetSize     = 40
+	simulatedTime = time.Minute
+	// A process runs for stallInterval on average between two stalls, each between minStall and maxStall.
+	stallInterval = 3 * time.Second
+	minStall      = 100 * time.Millisecond
+	maxStall      = 2 * time.Second
+	pollInterval  = 20 * time.Millisecond
+	// maxLeaderless is how long the fleet may be without a process that leads and runs: the longest stall of
+	// the holder, the time until it is suspect, two probes of it without an answer, and the claim, during which
+	// the successor may stall too.
+	maxLeaderless = 4 * time.Second
 )
 
-// stallingNode is a process that stands still now and then. Its calls to the store and its
-// answers to others wait meanwhile.
+// stallingNode is a process that stalls now and then. Its calls to the store and its answers to other nodes
+// are delayed meanwhile.
 type stallingNode struct {
-	hold   Hold
-	stalls []stall
+	yielder Yielder
+	stalls  []stall
 
-	mutex    sync.Mutex
-	standing Standing
+	mutex sync.Mutex
+	state State
 }
 
 type stall struct{ from, until time.Time }
 
 func newStallingNode(random *rand.Rand) *stallingNode {
 	n := &stallingNode{}
-	end := time.Now().Add(2 * stallTime)
+	end := time.Now().Add(2 * simulatedTime)
 	for at := time.Now(); at.Before(end); {
-		from := at.Add(time.Duration(random.ExpFloat64() * float64(stallEvery)))
-		at = from.Add(stallLeast + time.Duration(random.Int64N(int64(stallMost-stallLeast))))
+		from := at.Add(time.Duration(random.ExpFloat64() * float64(stallInterval)))
+		at = from.Add(minStall + time.Duration(random.Int64N(int64(maxStall-minStall))))
 		n.stalls = append(n.stalls, stall{from, at})
 	}
 	return n
 }
 
-// still returns how long the process stands still from now on.
-func (n *stallingNode) still() time.Duration {
+// remainingStall returns how long the process still stalls from now on.
+func (n *stallingNode) remainingStall() time.Duration {
 	now := time.Now()
 	for _, s := range n.stalls {
 		if !now.Before(s.from) && now.Before(s.until) {
@@ -68,15 +66,15 @@
 	return 0
 }
 
-func (n *stallingNode) wait() { time.Sleep(n.still()) }
+func (n *stallingNode) waitOutStall() { time.Sleep(n.remainingStall()) }
 
-// call makes a call to the store; an answer that comes after its time counts as lost.
+// call makes a call to the store; an answer after the deadline counts as lost.
 func (n *stallingNode) call(ctx context.Context, do func() error) error {
-	n.wait()
+	n.waitOutStall()
 	time.Sleep(5 * time.Millisecond)
 	err := do()
 	time.Sleep(5 * time.Millisecond)
-	n.wait()
+	n.waitOutStall()
 	if err == nil {
 		err = ctx.Err()
 	}
@@ -104,18 +102,18 @@
 	return offset, err
 }
 
-func (n *stallingNode) observe(standing Standing) {
-	n.wait()
+func (n *stallingNode) observe(state State) {
+	n.waitOutStall()
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	n.standing = standing
+	n.state = state
 }
 
-// ask asks a holder whether it runs.
-func (n *stallingNode) ask(ctx context.Context, holder *stallingNode, epoch int64) liveness.Verdict {
+// probe asks a holder whether it runs.
+func (n *stallingNode) probe(ctx context.Context, holder *stallingNode, epoch int64) liveness.Verdict {
 	answer := make(chan liveness.Verdict, 1)
 	go func() { answer <- holder.answer(epoch) }()
-	defer n.wait()
+	defer n.waitOutStall()
 	select {
 	case verdict := <-answer:
 		return verdict
@@ -125,57 +123,57 @@
 }
 
 func (n *stallingNode) answer(epoch int64) liveness.Verdict {
-	n.wait()
-	defer n.wait()
-	if epoch > 0 && n.hold.Yield(epoch) {
+	n.waitOutStall()
+	defer n.waitOutStall()
+	if epoch > 0 && n.yielder.Yield(epoch) {
 		return liveness.Yielded
 	}
 	return liveness.Alive
 }
 
-// leads says under which epoch the process leads and runs; 0 for none.
-func (n *stallingNode) leads() int64 {
+// leadingEpoch returns the epoch under which the process leads and runs; 0 for none.
+func (n *stallingNode) leadingEpoch() int64 {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	if !n.standing.Leading || n.still() > 0 {
+	if !n.state.Leading || n.remainingStall() > 0 {
 		return 0
 	}
-	return n.standing.Lease.Epoch
+	return n.state.Lease.Epoch
 }
 
-// playStalls runs a fleet and returns how long it was without a process that leads and runs, at
-// the longest, and how many leases were taken.
-func playStalls(t *testing.T, seed uint64) (alone time.Duration, leases int) {
+// simulateStalls runs a fleet and returns the longest time it was without a process that leads and runs,
+// and the number of leases taken.
+func simulateStalls(t *testing.T, seed uint64) (leaderless time.Duration, leases int) {
 	random := rand.New(rand.NewPCG(seed, seed))
 	memory := storetest.NewMemory()
 	var nodes []*stallingNode
 	ctx, cancel := context.WithCancel(t.Context())
 	var running sync.WaitGroup
-	for range stallNodes {
+	for range fleetSize {
 		nodes = append(nodes, newStallingNode(random))
 	}
 	for number, node := range nodes {
 		name := fmt.Sprint(number)
 		timing := Timing{
-			TTL: 2500 * time.Millisecond, SilentTTL: 1400 * time.Millisecond, Renewal: 500 * time.Millisecond, Margin: 200 * time.Millisecond,
-			Doubt: 600*time.Millisecond + time.Duration(random.IntN(300))*time.Millisecond,
+			TTL: 2500 * time.Millisecond, UnresponsiveTTL: 1400 * time.Millisecond, RenewInterval: 500 * time.Millisecond, SafetyMargin: 200 * time.Millisecond,
+			SuspectAfter: 600*time.Millisecond + time.Duration(random.IntN(300))*time.Millisecond,
 		}
 		running.Go(func() {
 			Run(ctx, Options{
-				Log: stallingLog{memory, node}, Self: name, Address: name, Timing: timing, Hold: &node.hold, Logger: zap.NewNop(),
-				Leaving: make(chan struct{}), Observe: node.observe,
-				Ask: func(ctx context.Context, address, _ string, epoch int64) liveness.Verdict {
+				Log: stallingLog{memory, node}, Self: name, Address: name, Timing: timing, Yielder: &node.yielder, Logger: zap.NewNop(),
+				Resign: make(chan struct{}), Observe: node.observe,
+				Probe: func(ctx context.Context, address, _ string, epoch int64) liveness.Verdict {
 					number, _ := strconv.Atoi(address)
-					return node.ask(ctx, nodes[number], epoch)
+					return node.probe(ctx, nodes[number], epoch)
 				},
 			})
 		})
 	}
 	newest := int64(0)
 	since := time.Now()
-	for end := time.Now().Add(stallTime); time.Now().Before(end); time.Sleep(stallLook) {
+	for end := time.Now().Add(simulatedTime); time.Now().Before(end); time.Sleep(pollInterval) {
 		for _, node := range nodes {
-			epoch := node.leads()
+			epoch := node.leadingEpoch()
 			if epoch > newest {
 				newest = epoch
 				leases++
@@ -184,24 +182,24 @@
 				since = time.Now()
 			}
 		}
-		alone = max(alone, time.Since(since))
+		leaderless = max(leaderless, time.Since(since))
 	}
 	cancel()
 	running.Wait()
-	// Answers that nobody waits for any more stand still before and after.
-	time.Sleep(2*stallMost + 2*yieldWait)
-	return alone, leases
+	// Answers that are no longer awaited stall before and after, too.
+	time.Sleep(2*maxStall + 2*yieldWait)
+	return leaderless, leases
 }
 
-// Processes that stand still for up to two seconds, without any other fault, leave the fleet with a
-// coordinator but for short times.
-func TestProcessesThatStandStillKeepACoordinator(t *testing.T) {
+// Processes that stall for up to two seconds, without any other fault, must leave the fleet without a
+// coordinator for short times only.
+func TestStallingProcessesKeepCoordinator(t *testing.T) {
 	for seed := range uint64(5) {
 		synctest.Test(t, func(t *testing.T) {
-			alone, leases := playStalls(t, seed)
-			t.Logf("seed %d: %v without a coordinator at the longest, %d leases in %v", seed, alone, leases, stallTime)
-			if alone > longestAlone {
-				t.Errorf("seed %d: %v without a coordinator", seed, alone)
+			leaderless, leases := simulateStalls(t, seed)
+			t.Logf("seed %d: at most %v without a coordinator, %d leases in %v", seed, leaderless, leases, simulatedTime)
+			if leaderless > maxLeaderless {
+				t.Errorf("seed %d: %v without a coordinator, want at most %v", seed, leaderless, maxLeaderless)
 			}
 		})
 	}
--- a/internal/frontend/fleet_test.go
+++ b/internal/frontend/fleet_test.go
@@ -165,9 +165,9 @@
 
 // fleetNode is a node's part in the election, and what it knows of the operator's topic.
 type fleetNode struct {
-	hold  election.Hold
-	peers storeproxy.Peers
-	proxy *storeproxy.Proxy
+	yielder election.Yielder
+	peers   storeproxy.Peers
+	proxy   *storeproxy.Proxy
 	// stop ends the node, stopped says that it was.
 	stop    context.CancelFunc
 	stopped bool
@@ -208,18 +208,18 @@
 	return l.freeAt.Sub(now)
 }
 
-func (n *fleetNode) observe(standing election.Standing) {
-	n.peers.Note(standing.Coordinator)
+func (n *fleetNode) observe(state election.State) {
+	n.peers.Note(state.Coordinator)
 	if n.guide != nil {
-		n.guide.Observe(reportOf(standing, true))
+		n.guide.Observe(reportOf(state, true))
 	}
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	n.held = standing.Held
+	n.held = state.Held
 }
 
 // news is Node.operatorNews in a large fleet.
-func (n *fleetNode) news() *election.News {
+func (n *fleetNode) news() *election.Announcement {
 	if n.source == nil {
 		return nil
 	}
@@ -289,8 +289,8 @@
 	go func() {
 		defer f.running.Done()
 		election.Run(ctx, election.Options{
-			Log: log, Self: name, Address: name, Timing: leaseTiming(settings), Hold: &node.hold, Logger: zap.NewNop(),
-			Observe: node.observe, Leaving: make(chan struct{}), Ask: f.askFrom(name), News: node.news,
+			Log: log, Self: name, Address: name, Timing: leaseTiming(settings), Yielder: &node.yielder, Logger: zap.NewNop(),
+			Observe: node.observe, Resign: make(chan struct{}), Probe: f.askFrom(name), Announcement: node.news,
 		})
 	}()
 	go func() {
@@ -366,7 +366,7 @@
 			return liveness.Unknown
 		}
 		holder.peers.Note(name)
-		if epoch > 0 && holder.hold.Yield(epoch) {
+		if epoch > 0 && holder.yielder.Yield(epoch) {
 			return liveness.Yielded
 		}
 		return liveness.Alive
--- a/internal/frontend/leading.go
+++ b/internal/frontend/leading.go
@@ -35,30 +35,30 @@
 		missing = max(1-settings.ProcessorShare/coordinatorShare, 0)
 	}
 	return election.Timing{
-		TTL: leaseTTL, SilentTTL: leaseSilentTTL, Renewal: leaseRenewal, Margin: leaseMargin,
-		Doubt:    leaseDoubt + time.Duration(spread*float64(leaseDoubtSpread)),
-		Handicap: time.Duration(missing * float64(leaseHandicap)),
+		TTL: leaseTTL, UnresponsiveTTL: leaseSilentTTL, RenewInterval: leaseRenewal, SafetyMargin: leaseMargin,
+		SuspectAfter: leaseDoubt + time.Duration(spread*float64(leaseDoubtSpread)),
+		ClaimDelay:   time.Duration(missing * float64(leaseHandicap)),
 	}
 }
 
-// observeLease takes this node's standing in the election.
-func (n *Node) observeLease(standing election.Standing) {
-	n.jobReader.observeCoordinator(standing.Leading, standing.Coordinator)
-	n.standing.Store(&standing)
-	n.peers.Note(standing.Coordinator)
-	n.coordinator.ObserveLease(standing)
-	n.guideOperator(standing)
+// observeLease takes this node's state in the election.
+func (n *Node) observeLease(state election.State) {
+	n.jobReader.observeCoordinator(state.Leading, state.Coordinator)
+	n.electionState.Store(&state)
+	n.peers.Note(state.Coordinator)
+	n.coordinator.ObserveLease(state)
+	n.guideOperator(state)
 }
 
 // coordinatorEstablished says whether another node has coordinated since before this process started.
 func (n *Node) coordinatorEstablished() bool {
-	standing := n.standing.Load()
-	return standing != nil && standing.Established
+	state := n.electionState.Load()
+	return state != nil && state.Established
 }
 
 // Yield implements liveness.Holder.
 func (n *Node) Yield(epoch int64) bool {
-	if !n.hold.Yield(epoch) {
+	if !n.yielder.Yield(epoch) {
 		return false
 	}
 	n.coordinator.Yield(epoch)
--- a/internal/frontend/node.go
+++ b/internal/frontend/node.go
@@ -137,12 +137,12 @@
 	jobs        *joblog.Logs
 	jobReader   *jobReader
 	coordinator *coordinator.Coordinator
-	// hold is what is known of the lease while this process holds it.
-	hold election.Hold
+	// yielder decides whether the lease is yielded while this process holds it.
+	yielder election.Yielder
 	// peers are the nodes that coordinated last, or asked this one whether it does.
 	peers storeproxy.Peers
-	// standing is this process's place in the election; nil before it is known.
-	standing atomic.Pointer[election.Standing]
+	// electionState is this process's role in the election; nil before it is known.
+	electionState atomic.Pointer[election.State]
 	// usageSender and usageReporter are nil where no usage is reported.
 	usageSender   *usage.Sender
 	usageReporter *usage.Reporter
@@ -244,9 +244,9 @@
 	background.Go(func() { n.coordinator.Run(ctx) })
 	background.Go(func() {
 		election.Run(ctx, election.Options{
-			Log: log, Self: n.process(), Address: n.options.Settings.Listen.Internal, Timing: leaseTiming(n.options.Settings), Ask: n.askHolder,
-			Hold:   &n.hold,
-			Logger: n.options.Logger.Named("election"), Observe: n.observeLease, Leaving: n.left, News: n.operatorNews,
+			Log: log, Self: n.process(), Address: n.options.Settings.Listen.Internal, Timing: leaseTiming(n.options.Settings), Probe: n.askHolder,
+			Yielder: &n.yielder,
+			Logger:  n.options.Logger.Named("election"), Observe: n.observeLease, Resign: n.left, Announcement: n.operatorNews,
 		})
 	})
 	background.Go(func() { n.sweep(ctx) })
--- a/internal/frontend/operatorfollow.go
+++ b/internal/frontend/operatorfollow.go
@@ -35,33 +35,33 @@
 
 // operatorNews is what this node tells the others while it coordinates: nothing in a small fleet, whose nodes know
 // sooner what they read themselves, nor where old keys are refused, which would be while the coordinator is replaced.
-func (n *Node) operatorNews() *election.News {
+func (n *Node) operatorNews() *election.Announcement {
 	if !n.servers.Large() || n.options.Settings.Access.FailClosed {
 		return nil
 	}
 	return newsOf(n.operatorSource)
 }
 
-func newsOf(source *fanout.Source) *election.News {
+func newsOf(source *fanout.Source) *election.Announcement {
 	known, ok := source.Known()
 	if !ok {
 		return nil
 	}
-	return &election.News{Next: known.Next, Large: known.Large, AgeMs: clock.Since(known.AskedAt).Milliseconds() + 1}
+	return &election.Announcement{Next: known.Next, Large: known.Large, AgeMs: clock.Since(known.AskedAt).Milliseconds() + 1}
 }
 
 // guideOperator takes what the coordinator tells.
-func (n *Node) guideOperator(standing election.Standing) {
-	n.operatorGuide.Observe(reportOf(standing, n.servers.Large()))
+func (n *Node) guideOperator(state election.State) {
+	n.operatorGuide.Observe(reportOf(state, n.servers.Large()))
 }
 
 // reportOf returns what a node of a fleet that may be large knows of the coordinator's telling.
-func reportOf(standing election.Standing, large bool) fanout.Report {
-	report := fanout.Report{Tells: standing.Leading && large, ReadAt: standing.ReadAt, ReadSince: standing.ReadSince}
-	if heard := standing.News; heard != nil && !standing.Leading {
+func reportOf(state election.State, large bool) fanout.Report {
+	report := fanout.Report{Tells: state.Leading && large, ReadAt: state.ReadAt, ReadSince: state.ReadableSince}
+	if received := state.Announcement; received != nil && !state.Leading {
 		report.News = &fanout.News{
-			Next: heard.Next, Large: heard.Large, Age: time.Duration(heard.AgeMs) * time.Millisecond,
-			At: heard.At, HeardAt: heard.HeardAt, From: standing.Coordinator,
+			Next: received.Next, Large: received.Large, Age: time.Duration(received.AgeMs) * time.Millisecond,
+			At: received.AskedAt, HeardAt: received.ReceivedAt, From: state.Coordinator,
 		}
 	}
 	return report
--- a/internal/frontend/timing_test.go
+++ b/internal/frontend/timing_test.go
@@ -6,14 +6,14 @@
 )
 
 // mostOfYouth is how long the oldest process leaves a lease that was released to younger ones
-// (election.claimDelayMost).
+// (election.maxClaimDelay).
 const mostOfYouth = 400 * time.Millisecond
 
 // A coordinator on a fifth of a core falls behind the events of some hundred runs: no such node
 // claims a lease before those that can carry it, be these as old as they may.
 func TestWeakNodesLeaveTheLeaseToStrongOnes(t *testing.T) {
 	handicap := func(share float64) time.Duration {
-		return leaseTiming(&Settings{Node: "n", ProcessorShare: share}).Handicap
+		return leaseTiming(&Settings{Node: "n", ProcessorShare: share}).ClaimDelay
 	}
 	for _, strong := range []float64{0, 0.5, 0.8, 4} {
 		if got := handicap(strong); got != 0 {
--- a/internal/frontend/usage.go
+++ b/internal/frontend/usage.go
@@ -58,16 +58,16 @@
 
 // term returns this node's hold of the lease, for what is done at the provider under it.
 func (n *Node) term() duty.Term {
-	standing := n.standing.Load()
-	if standing == nil {
+	state := n.electionState.Load()
+	if state == nil {
 		return duty.Term{}
 	}
-	return duty.Term{Epoch: standing.Lease.Epoch, Acting: n.acts(clock.Now(), *standing)}
+	return duty.Term{Epoch: state.Lease.Epoch, Acting: n.acts(clock.Now(), *state)}
 }
 
 // acts says whether this node may act on the lease now.
-func (n *Node) acts(now time.Time, standing election.Standing) bool {
+func (n *Node) acts(now time.Time, state election.State) bool {
 	pause := time.Duration(n.options.Settings.OrderPauseMs) * time.Millisecond
-	settled := standing.Lease.SettledAt(pause, n.options.Settings.FencingEnforced)
-	return standing.Held && now.Before(standing.Lease.Until) && !now.Before(settled) && !n.hold.Yielded(standing.Lease.Epoch)
+	settled := state.Lease.SettledAt(pause, n.options.Settings.FencingEnforced)
+	return state.Held && now.Before(state.Lease.ExpiresAt) && !now.Before(settled) && !n.yielder.HasYielded(state.Lease.Epoch)
 }
