--- a/internal/frontend/metrics.go
+++ b/internal/frontend/metrics.go
@@ -128,7 +128,7 @@
 		return float64(n.warmingServers(clock.Now()))
 	})
 	gauge("dalehook_servers_way", "How the list of servers comes: 0 none is known, 1 heartbeats, 2 the relay.", func() float64 {
-		return float64(n.servers.Way())
+		return float64(n.servers.Mode())
 	})
 	gauge("dalehook_ready", "1 while the node wants new connections.", func() float64 { return truth(n.Ready()) })
 	gauge("dalehook_coordinator", "1 while the node coordinates the batch jobs.", func() float64 {
--- a/internal/frontend/node.go
+++ b/internal/frontend/node.go
@@ -168,10 +168,10 @@
 	})
 	n.jobReader = newJobReader(n.jobs, n.metrics.observeJobRead, n.metrics.jobReadsMisread.Inc, logger.Named("jobs"))
 	n.servers = serverlist.New(serverlist.Options{
-		Log: adapter.Log(), Directory: n.directory, Logger: logger.Named("servers"), Pace: listPace, Wait: listWait,
+		Log: adapter.Log(), Directory: n.directory, Logger: logger.Named("servers"), MinReadInterval: listPace, ReadWait: listWait,
 		Decode: adapter.Server, Digest: adapter.ServerDigest,
 		Self: n.process(), Leading: func() bool { return n.coordinator.State().Leading },
-		Established: n.coordinatorEstablished, Changed: n.observeServers, Shared: n.sharedServices, LeaveBound: time.Duration(options.Settings.LeaveBoundMs) * time.Millisecond,
+		Established: n.coordinatorEstablished, OnChange: n.observeServers, SharedServices: n.sharedServices, LeaveBound: time.Duration(options.Settings.LeaveBoundMs) * time.Millisecond,
 	})
 	n.coordinator = coordinator.New(coordinator.Options{
 		Engines: adapter.Engines(), Quarantine: n.quarantine, Rewards: &rewardCaller{gateway: n.gateway, logger: logger.Named("reward")}, Log: adapter.Log(), Jobs: n.jobs, Directory: n.directory,
--- a/internal/frontend/operatorfollow.go
+++ b/internal/frontend/operatorfollow.go
@@ -36,7 +36,7 @@
 // operatorNews is what this node tells the others while it coordinates: nothing in a small fleet, whose nodes know
 // sooner what they read themselves, nor where old keys are refused, which would be while the coordinator is replaced.
 func (n *Node) operatorNews() *election.Announcement {
-	if !n.servers.Large() || n.options.Settings.Access.FailClosed {
+	if !n.servers.LargeFleet() || n.options.Settings.Access.FailClosed {
 		return nil
 	}
 	return newsOf(n.operatorSource)
@@ -52,7 +52,7 @@
 
 // guideOperator takes what the coordinator tells.
 func (n *Node) guideOperator(state election.State) {
-	n.operatorGuide.Observe(reportOf(state, n.servers.Large()))
+	n.operatorGuide.Observe(reportOf(state, n.servers.LargeFleet()))
 }
 
 // reportOf returns what a node of a fleet that may be large knows of the coordinator's telling.
--- a/internal/frontend/operatorfollow_test.go
+++ b/internal/frontend/operatorfollow_test.go
@@ -19,10 +19,10 @@
 		failClosed, knows bool
 		tells             bool
 	}{
-		{"a large fleet", serverlist.DefaultLargeFleet, false, true, true},
-		{"a small fleet", serverlist.DefaultLargeFleet - 1, false, true, false},
-		{"a large fleet that refuses old keys", serverlist.DefaultLargeFleet, true, true, false},
-		{"a coordinator that has not read it", serverlist.DefaultLargeFleet, false, false, false},
+		{"a large fleet", serverlist.DefaultLargeFleetSize, false, true, true},
+		{"a small fleet", serverlist.DefaultLargeFleetSize - 1, false, true, false},
+		{"a large fleet that refuses old keys", serverlist.DefaultLargeFleetSize, true, true, false},
+		{"a coordinator that has not read it", serverlist.DefaultLargeFleetSize, false, false, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/serverlist/builds_test.go
+++ b/internal/serverlist/builds_test.go
@@ -14,19 +14,18 @@
 	"dalehook/internal/store/storetest"
 )
 
-// In a fleet of more than 200 servers whose nodes are of two builds, nodes go on sending requests to a
-// server that is gone, for as long as the coordinator is of a build that tells the list in another format
-// (by this test; not seen with real programs, whose soak has no such fleet).
+// Guards against nodes sending requests to a server that is gone, in a fleet of more than 200 servers whose
+// nodes are of two builds, while the coordinator is of a build that relays the list in another format. This
+// was reproduced by this test only; the soak test has no such fleet.
 //
-// Builds of before and of now told the list in the same partition. A record of before that holds all
-// servers, each 10 s, says so by a field that builds of now do not have: they took it for changes, and
-// kept whatever it left out. They in turn told only the servers that all nodes use, which builds of
-// before took for the removal of the others. A meaning was changed under an old name, as in the reads of
-// jobs between builds.
+// Earlier builds relayed the list in the same partition. Their full records, one each 10 s, are marked by a
+// field that current builds do not have: current builds took such records for changes and kept every server
+// that they left out. In turn current builds relay only the servers of shared services, which earlier
+// builds took for the removal of the others.
 //
-// What proves it: a relay of before that tells a server's end by leaving it out.
+// The test relays like an earlier build, which reports the end of a server by leaving it out.
 
-// earlierRecord and earlierEntry are what builds of before tell.
+// earlierRecord and earlierEntry are the records of earlier builds.
 type earlierRecord struct {
 	Author  string
 	Full    bool
@@ -45,30 +44,30 @@
 // earlierInterval is the longest time between two records of such a build.
 const earlierInterval = 400 * time.Millisecond
 
-// earlierPartition is where such builds tell the list.
+// earlierPartition is where such builds relay the list.
 var earlierPartition = store.Partition{Topic: store.TopicServerRelay, Number: 0}
 
-// tellEarlier tells the list as a coordinator of an earlier build until the fleet ends: whole records alone,
-// each of which has the store forget those before.
-func (f *virtualFleet) tellEarlier() {
+// relayAsEarlierBuild relays the list as a coordinator of an earlier build until the fleet ends: full
+// records only, each of which has the store drop the ones before.
+func (f *simulatedFleet) relayAsEarlierBuild() {
 	log := f.shared.Node(f.size.nodes)
 	for ; f.ctx.Err() == nil; time.Sleep(earlierInterval) {
 		records, end, err := log.Newest(f.ctx, store.TopicServers)
 		if err != nil {
 			continue
 		}
-		told := earlierRecord{Author: "earlier", Full: true, Next: end}
+		full := earlierRecord{Author: "earlier", Full: true, Next: end}
 		for _, record := range records {
 			server, err := decodeFleet(record)
 			if err != nil {
 				f.t.Error(err)
 			}
-			told.Put = append(told.Put, earlierEntry{
+			full.Put = append(full.Put, earlierEntry{
 				ID: server.ID, Service: server.Service, Address: server.Address, Zone: server.Zone, Slots: server.Slots,
 				Draining: server.Draining, Digest: digestFleet(record.Value),
 			})
 		}
-		offset, err := log.Append(f.ctx, earlierPartition, [][]byte{encodeEarlier(f.t, told)})
+		offset, err := log.Append(f.ctx, earlierPartition, [][]byte{encodeEarlier(f.t, full)})
 		if err == nil {
 			_ = log.Trim(f.ctx, earlierPartition, offset)
 		}
@@ -99,23 +98,23 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				ctx, cancel := context.WithCancel(context.Background())
-				f := &virtualFleet{t: t, size: mixedFleet, shared: storetest.NewShared(fleetLimits), ctx: ctx, states: make([]string, mixedFleet.servers)}
+				f := &simulatedFleet{t: t, size: mixedFleet, shared: storetest.NewShared(fleetLimits), ctx: ctx, states: make([]string, mixedFleet.servers)}
 				f.leader.Store(int64(leader))
 				f.established = leader < 0
 				for number := range f.states {
 					f.states[number] = "ready"
-					f.put(number)
+					f.writeEntry(number)
 				}
-				f.running.Go(f.beat)
-				f.running.Go(f.tellEarlier)
+				f.running.Go(f.writeHeartbeats)
+				f.running.Go(f.relayAsEarlierBuild)
 				time.Sleep(2 * earlierInterval)
 				for number := range f.size.nodes {
 					f.start(number)
 				}
-				f.within("start of all", readyWithin)
+				f.awaitAll("start of all", startBound)
 				for number := 0; number < 5*sharedEvery; number += sharedEvery {
-					f.set(number, "")
-					f.within(fmt.Sprint("server ", number, " is gone"), leaveWithin)
+					f.setState(number, "")
+					f.awaitAll(fmt.Sprint("server ", number, " is gone"), leaveBound)
 					time.Sleep(heartbeat)
 				}
 				cancel()
--- a/internal/serverlist/direct.go
+++ b/internal/serverlist/direct.go
@@ -15,28 +15,29 @@
 	"dalehook/internal/store"
 )
 
-// learnSize reads the list as far as a page may reach. In a small fleet that is all of it; in a large one
-// the rest is not read: that each of 1,000 nodes reads 10,000 entries is more than a store carries.
-func (l *List) learnSize(ctx context.Context) {
-	records, end, more, err := l.readBeginning(ctx)
+// determineSize reads the list as far as a page may reach. In a small fleet that is the whole list; in a
+// large one the rest is not read, since 1,000 nodes reading 10,000 entries each exceed the capacity of a
+// store.
+func (l *List) determineSize(ctx context.Context) {
+	records, end, more, err := l.readFirstPages(ctx)
 	if err != nil {
 		l.options.Logger.Warn("size of the fleet not learned", zap.Error(err))
-		pause.For(ctx, l.spread(sizeRetry))
+		pause.For(ctx, l.jitter(sizeRetryDelay))
 		return
 	}
 	if !more {
-		l.replace(records)
-		l.noteRead(end, true)
+		l.replaceServers(records)
+		l.recordHeartbeatRead(end, true)
 	}
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.sized, l.crowded = true, more
+	l.sizeKnown, l.tooLarge = true, more
 }
 
-// readBeginning reads the newest entries of the first servers, of crowdedFrom at the least; more says
-// that others follow.
-func (l *List) readBeginning(ctx context.Context) (records []store.Record, end int64, more bool, err error) {
-	ctx, cancel := context.WithTimeout(ctx, sizeTimeout)
+// readFirstPages reads the newest entries of at least the first directReadLimit servers; more is set if
+// others follow.
+func (l *List) readFirstPages(ctx context.Context) (records []store.Record, end int64, more bool, err error) {
+	ctx, cancel := context.WithTimeout(ctx, sizeReadTimeout)
 	defer cancel()
 	for after := ""; ; {
 		page, err := store.ReadNewestPage(ctx, l.options.Log, store.TopicServers, after)
@@ -44,41 +45,41 @@
 			return nil, 0, false, err
 		}
 		if len(records) == 0 {
-			// What changes after the first page is read from its end.
+			// Changes after the first page are read from its end.
 			end = page.End
 		}
 		records = append(records, page.Records...)
-		if !page.More || len(page.Records) == 0 || len(records) >= crowdedFrom {
+		if !page.More || len(page.Records) == 0 || len(records) >= directReadLimit {
 			return records, end, page.More && len(page.Records) > 0, nil
 		}
 		after = records[len(records)-1].Key
 	}
 }
 
-// runDirect reads the heartbeats while this node is to, and has the directory follow the
-// relay while it is not.
-func (l *List) runDirect(ctx context.Context) {
+// runHeartbeats reads the heartbeats while this node is to, and makes the directory follow the relay
+// otherwise.
+func (l *List) runHeartbeats(ctx context.Context) {
 	for ctx.Err() == nil {
 		now := clock.Now()
 		switch {
 		case l.options.Leading():
 			l.followHeartbeats(ctx)
-		case l.wantsSize(now):
-			l.learnSize(ctx)
-		case l.wantsDirect(now):
+		case l.needsSize(now):
+			l.determineSize(ctx)
+		case l.wantsHeartbeats(now):
 			l.followHeartbeats(ctx)
-		case l.adoptable(now):
+		case l.canAdoptRelay(now):
 			l.adoptRelay()
 		}
-		l.awaitCheck(ctx)
+		l.waitForNextCheck(ctx)
 	}
 }
 
-// awaitCheck waits until it is time to look again, a short time before the relay was
-// read for the first time.
-func (l *List) awaitCheck(ctx context.Context) {
+// waitForNextCheck waits for the next check; the wait is short until the relay has been read for the first
+// time.
+func (l *List) waitForNextCheck(ctx context.Context) {
 	l.mutex.Lock()
-	known := l.relayRead
+	known := l.relayCaughtUp
 	l.mutex.Unlock()
 	if known {
 		pause.For(ctx, checkInterval)
@@ -87,26 +88,26 @@
 	pause.For(ctx, checkInterval/20)
 }
 
-// followHeartbeats reads the heartbeats until the relay takes over, or until this node
-// needs the weight versions that it did not read.
+// followHeartbeats reads the heartbeats until the relay takes over, or until this node needs the weight
+// versions that it did not read.
 func (l *List) followHeartbeats(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	leading := l.options.Leading()
-	from, known, versions := l.beginDirect(leading)
+	from, known, versions := l.beginHeartbeats(leading)
 	mostBytes := 0
-	if l.isUnsure(leading) {
-		mostBytes = unsureBytes
+	if l.readsTentatively(leading) {
+		mostBytes = tentativeReadBytes
 	}
 	l.options.Logger.Info("list read from heartbeats", zap.Bool("leading", leading), zap.Bool("known", known), zap.Int64("offset", from))
 	var watch conc.WaitGroup
-	watch.Go(func() { l.endWhenRelayed(ctx, cancel, versions) })
+	watch.Go(func() { l.stopWhenRelayed(ctx, cancel, versions) })
 	follow.Keyed(ctx, follow.KeyedOptions{
-		Log: l.options.Log, Topic: store.TopicServers, Pace: l.options.Pace, Wait: l.options.Wait, Logger: l.options.Logger,
-		Replace: l.replace, Change: l.change, From: from, FromKnown: known, MostBytes: mostBytes,
+		Log: l.options.Log, Topic: store.TopicServers, Pace: l.options.MinReadInterval, Wait: l.options.ReadWait, Logger: l.options.Logger,
+		Replace: l.replaceServers, Change: l.applyEntries, From: from, FromKnown: known, MostBytes: mostBytes,
 		Read: func(next int64, end bool, _ time.Time) {
-			l.noteRead(next, end)
-			if l.isUnsure(leading) && l.leaveCrowd() {
+			l.recordHeartbeatRead(next, end)
+			if l.readsTentatively(leading) && l.stopIfTooLarge() {
 				cancel()
 			}
 		},
@@ -115,72 +116,71 @@
 	watch.Wait()
 }
 
-// isUnsure says whether this node reads the heartbeats without knowing whether it is to: the servers
-// may be about to start, as it is.
-func (l *List) isUnsure(leading bool) bool {
+// readsTentatively reports whether this node reads the heartbeats without knowing whether it should: the
+// servers may be starting at the same time.
+func (l *List) readsTentatively(leading bool) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	return !leading && !l.relayedLocked() && !l.unrelayedLocked(clock.Now())
+	return !leading && !l.hasRelayLocked() && !l.mustStartRelayLocked(clock.Now())
 }
 
-// leaveCrowd ends the reading of heartbeats where more servers have come than fit a page, and returns
-// whether it did: the list is taken from the relay then.
-func (l *List) leaveCrowd() bool {
+// stopIfTooLarge stops the reading of heartbeats if more servers have appeared than fit a page, and reports
+// whether it did: the list is then taken from the relay.
+func (l *List) stopIfTooLarge() bool {
 	count := l.options.Directory.Snapshot().Count()
-	if count < crowdedFrom {
+	if count < directReadLimit {
 		return false
 	}
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.crowded, l.direct, l.based, l.complete = true, false, false, false
+	l.tooLarge, l.readsHeartbeats, l.hasBase, l.complete = true, false, false, false
 	l.options.Logger.Info("list too long to be read by each node", zap.Int("servers", count))
 	return true
 }
 
-// beginDirect returns the offset from which the heartbeats are to be read, where what
-// was before is known: from earlier reads, or from what the relay told last. A node
-// that coordinates begins with the newest entries, which have weight versions; versions
-// says whether the list will have them.
-func (l *List) beginDirect(leading bool) (from int64, known, versions bool) {
+// beginHeartbeats returns the offset from which the heartbeats are to be read if the list before it is
+// known, either from earlier reads or from the relay. A coordinator starts with the newest entries, which
+// have weight versions; versions is set if the list will have them.
+func (l *List) beginHeartbeats(leading bool) (from int64, known, versions bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.direct = true
-	if !l.based && l.relayedLocked() {
-		l.based, l.next = true, l.relay.next
-		l.options.Directory.Replace(l.relay.list())
+	l.readsHeartbeats = true
+	if !l.hasBase && l.hasRelayLocked() {
+		l.hasBase, l.nextOffset = true, l.relay.heartbeatOffset
+		l.options.Directory.Replace(l.relay.listServers())
 	}
-	known = l.based && (l.versions || !leading)
-	return l.next, known, l.versions || !known
+	known = l.hasBase && (l.hasVersions || !leading)
+	return l.nextOffset, known, l.hasVersions || !known
 }
 
-// endWhenRelayed ends the reading of heartbeats once the relay is to be gone by, or once
-// this node coordinates and the reading does not bring weight versions.
-func (l *List) endWhenRelayed(ctx context.Context, end context.CancelFunc, versions bool) {
+// stopWhenRelayed stops the reading of heartbeats once the relay is to be followed, or once this node is
+// the coordinator and the reading does not yield weight versions.
+func (l *List) stopWhenRelayed(ctx context.Context, stop context.CancelFunc, versions bool) {
 	for pause.For(ctx, l.checkPause()) {
 		leading := l.options.Leading()
-		if l.wantsDirect(clock.Now()) && (versions || !leading) {
+		if l.wantsHeartbeats(clock.Now()) && (versions || !leading) {
 			continue
 		}
-		end()
+		stop()
 		return
 	}
 }
 
-// adoptRelay makes the directory what the relay says.
+// adoptRelay replaces the directory by the relayed list.
 func (l *List) adoptRelay() {
 	l.mutex.Lock()
-	l.direct, l.versions, l.based, l.complete = false, false, true, true
-	l.next = l.relay.next
-	next, servers := l.next, l.relay.list()
+	l.readsHeartbeats, l.hasVersions, l.hasBase, l.complete = false, false, true, true
+	l.nextOffset = l.relay.heartbeatOffset
+	next, servers := l.nextOffset, l.relay.listServers()
 	l.options.Directory.Replace(servers)
 	l.options.Directory.NoteRead(clock.Now())
 	l.mutex.Unlock()
 	l.options.Logger.Info("list taken from the relay", zap.Int("servers", len(servers)), zap.Int64("offset", next))
-	l.options.Changed()
+	l.options.OnChange()
 }
 
-// replace takes the newest entry of every server.
-func (l *List) replace(records []store.Record) {
+// replaceServers takes the newest entry of every server.
+func (l *List) replaceServers(records []store.Record) {
 	servers := make([]directory.Server, 0, len(records))
 	for _, record := range records {
 		if server, ok := l.decode(record); ok {
@@ -190,20 +190,20 @@
 	l.options.Directory.Replace(servers)
 	l.options.Logger.Info("list of servers read", zap.Int("servers", len(servers)))
 	l.mutex.Lock()
-	l.based, l.versions = true, true
+	l.hasBase, l.hasVersions = true, true
 	l.mutex.Unlock()
-	l.options.Changed()
+	l.options.OnChange()
 }
 
-// change takes entries in the order in which they were written.
-func (l *List) change(records []store.Record) {
+// applyEntries applies entries in the order in which they were written.
+func (l *List) applyEntries(records []store.Record) {
 	var changes []directory.Change
 	for _, record := range records {
 		if len(record.Value) == 0 {
 			changes = append(changes, directory.Change{ID: record.Key})
 			continue
 		}
-		if l.options.Directory.Holds(record.Key, l.options.Digest(record.Value)) && !mentioned(changes, record.Key) {
+		if l.options.Directory.Holds(record.Key, l.options.Digest(record.Value)) && !containsServer(changes, record.Key) {
 			continue
 		}
 		change := directory.Change{ID: record.Key}
@@ -214,17 +214,17 @@
 	}
 	if effective := l.options.Directory.Apply(changes); len(effective) > 0 {
 		level := zap.InfoLevel
-		if l.Large() && !l.options.Leading() {
-			// The coordinator logs each change; a thousand nodes that read the same tell no more.
+		if l.LargeFleet() && !l.options.Leading() {
+			// The coordinator logs each change; the same lines from a thousand other nodes add no information.
 			level = zap.DebugLevel
 		}
-		l.log(level, effective)
-		l.options.Changed()
+		l.logChanges(level, effective)
+		l.options.OnChange()
 	}
 }
 
-// mentioned says whether a server is among changes that were not applied yet.
-func mentioned(changes []directory.Change, id string) bool {
+// containsServer reports whether a server is among changes that were not applied yet.
+func containsServer(changes []directory.Change, id string) bool {
 	for _, change := range changes {
 		if change.ID == id {
 			return true
@@ -233,38 +233,38 @@
 	return false
 }
 
-// voidInterval is the time between two log lines about entries that are no server's: who writes
-// such entries may do so all the time.
-const voidInterval = time.Second
+// invalidLogInterval is the time between two log lines about invalid server entries, which their writer may
+// repeat constantly.
+const invalidLogInterval = time.Second
 
-func (l *List) logVoid(key string, err error) {
+func (l *List) logInvalidEntry(key string, err error) {
 	now := clock.Now()
-	if now.Sub(l.voidLoggedAt) < voidInterval {
+	if now.Sub(l.invalidLoggedAt) < invalidLogInterval {
 		return
 	}
-	l.voidLoggedAt = now
-	l.options.Logger.Error("server entry void", zap.String("server", key), zap.Error(err))
+	l.invalidLoggedAt = now
+	l.options.Logger.Error("invalid server entry", zap.String("server", key), zap.Error(err))
 }
 
-// decode reads the entry of a server; ok is false for one that names none to use.
+// decode decodes the entry of a server; ok is false if the entry is empty or invalid.
 func (l *List) decode(record store.Record) (directory.Server, bool) {
 	if len(record.Value) == 0 {
 		return directory.Server{}, false
 	}
 	server, err := l.options.Decode(record)
 	if err != nil {
-		l.logVoid(record.Key, err)
+		l.logInvalidEntry(record.Key, err)
 		return directory.Server{}, false
 	}
 	server.Digest = l.options.Digest(record.Value)
 	return server, true
 }
 
-// noteRead notes a read of the heartbeats; a list that was not read to the end is as
-// old as before.
-func (l *List) noteRead(next int64, end bool) {
+// recordHeartbeatRead records a read of the heartbeats; a list that was not read to the end does not become
+// more recent.
+func (l *List) recordHeartbeatRead(next int64, end bool) {
 	l.mutex.Lock()
-	l.next = next
+	l.nextOffset = next
 	l.complete = l.complete || end
 	l.mutex.Unlock()
 	if end {
@@ -272,11 +272,11 @@
 	}
 }
 
-// linesOfChange bounds the lines that one read of the list may log.
-const linesOfChange = 8
+// maxChangeLogLines bounds the lines that one read of the list may log.
+const maxChangeLogLines = 8
 
-// log tells what changed, but for weight versions, which the coordinator tells.
-func (l *List) log(level zapcore.Level, changes []directory.Change) {
+// logChanges logs changes, except those of weight versions, which the coordinator logs.
+func (l *List) logChanges(level zapcore.Level, changes []directory.Change) {
 	if !l.options.Logger.Core().Enabled(level) {
 		return
 	}
@@ -286,7 +286,7 @@
 			continue
 		}
 		lines++
-		if lines > linesOfChange {
+		if lines > maxChangeLogLines {
 			l.options.Logger.Log(level, "more servers changed", zap.Int("servers", len(changes)))
 			return
 		}
--- a/internal/serverlist/follow.go
+++ b/internal/serverlist/follow.go
@@ -14,42 +14,42 @@
 	"dalehook/internal/store"
 )
 
-// snapshotReader keeps what was read of the partition of snapshots.
+// snapshotReader holds what was read of the partition of snapshots.
 type snapshotReader struct {
 	// end is the offset to read next.
 	end int64
-	// records are the last ones, of which some may belong to a snapshot that is not whole yet.
+	// records are the last ones read, some of which may belong to an incomplete snapshot.
 	records []*relayRecord
 }
 
-// runRelay follows the relay of a large fleet. It is read once in a small one too,
-// since a node that starts does not know the fleet's size.
+// runRelay follows the relay of a large fleet. In a small fleet it is read once, too, since a node that
+// starts does not know the size of the fleet.
 func (l *List) runRelay(ctx context.Context) {
-	pace := follow.Pace{Most: relaySlowest, Retry: relayRetry}
+	pace := follow.Pace{Most: maxRelayReadDelay, Retry: relayRetryDelay}
 	outage := follow.Outage{Logger: l.options.Logger}
 	for ctx.Err() == nil {
-		if l.knowsRelay() && !l.Large() {
-			pause.For(ctx, smallInterval)
+		if l.relayIsCaughtUp() && !l.LargeFleet() {
+			pause.For(ctx, smallFleetCheckInterval)
 			continue
 		}
-		err := l.advanceRelay(ctx)
-		l.noteContact(clock.Now(), err)
+		err := l.readRelay(ctx)
+		l.recordRelayRead(clock.Now(), err)
 		outage.Note(err, zap.Stringer("partition", changesPartition))
 		pause.For(ctx, pace.Next(err))
 	}
 }
 
-func (l *List) knowsRelay() bool {
+func (l *List) relayIsCaughtUp() bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	return l.relayRead
+	return l.relayCaughtUp
 }
 
-// advanceRelay reads on: the changes to the list that is known, or a snapshot. The first reads wait
-// for nothing: what they bring may be old.
-func (l *List) advanceRelay(ctx context.Context) error {
-	wait := l.relayWait(clock.Now())
-	ctx, cancel := context.WithTimeout(ctx, wait+relayAnswer)
+// readRelay reads changes if the list is known, else a snapshot. The first reads do not wait for new
+// records: what they return may be old.
+func (l *List) readRelay(ctx context.Context) error {
+	wait := l.relayReadWait(clock.Now())
+	ctx, cancel := context.WithTimeout(ctx, wait+relayReadMargin)
 	defer cancel()
 	l.mutex.Lock()
 	known := l.relay.servers != nil
@@ -60,35 +60,35 @@
 	return l.readSnapshots(ctx, wait)
 }
 
-// relayWait is how long the store may hold the next read.
-func (l *List) relayWait(now time.Time) time.Duration {
+// relayReadWait returns how long the store may hold the next read.
+func (l *List) relayReadWait(now time.Time) time.Duration {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	dueIn := l.relay.interval + overdueWait - now.Sub(l.relay.toldByOthersAt)
+	dueIn := l.relay.interval + overdueReadWait - now.Sub(l.relay.lastForeignRecordAt)
 	switch {
-	case !l.relayRead || l.contactSince.IsZero():
+	case !l.relayCaughtUp || l.relayReadableSince.IsZero():
 		return 0
-	case l.direct || l.relay.servers == nil:
+	case l.readsHeartbeats || l.relay.servers == nil:
 		return l.relay.interval
 	}
-	return max(dueIn, overdueWait)
+	return max(dueIn, overdueReadWait)
 }
 
-// noteContact takes whether a read of the relay was answered.
-func (l *List) noteContact(now time.Time, err error) {
+// recordRelayRead records whether a read of the relay succeeded.
+func (l *List) recordRelayRead(now time.Time, err error) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if err != nil {
-		l.contactSince = time.Time{}
+		l.relayReadableSince = time.Time{}
 		return
 	}
-	l.contactAt = now
-	if l.contactSince.IsZero() {
-		l.contactSince = now
+	l.relayReadAt = now
+	if l.relayReadableSince.IsZero() {
+		l.relayReadableSince = now
 	}
 }
 
-// readSnapshots reads snapshots until one is whole.
+// readSnapshots reads snapshots until a complete one is found.
 func (l *List) readSnapshots(ctx context.Context, wait time.Duration) error {
 	l.mutex.Lock()
 	from := l.snapshots.end
@@ -109,41 +109,41 @@
 		l.snapshots.records = append(l.snapshots.records, read.record)
 	}
 	rebased := false
-	if newest := newestSnapshot(l.snapshots.records); newest != nil {
+	if newest := newestCompleteSnapshot(l.snapshots.records); newest != nil {
 		l.snapshots.records = nil
-		// This node may have begun to relay while the read was held.
-		if l.relay.servers == nil && l.relay.base(now, newest, !l.relayRead) && l.complete && !l.direct {
+		// This node may have started to relay while the read was held.
+		if l.relay.servers == nil && l.relay.loadSnapshot(now, newest, !l.relayCaughtUp) && l.complete && !l.readsHeartbeats {
 			rebased = true
-			l.options.Directory.Replace(l.relay.list())
+			l.options.Directory.Replace(l.relay.listServers())
 		}
 	}
-	without := l.relay.servers == nil && !l.relayRead && read.Next >= read.End
+	noSnapshot := l.relay.servers == nil && !l.relayCaughtUp && read.Next >= read.End
 	l.mutex.Unlock()
 	if rebased {
-		l.options.Changed()
+		l.options.OnChange()
 	}
-	if without {
-		return l.findEnd(ctx)
+	if noSnapshot {
+		return l.findChangesEnd(ctx)
 	}
 	return nil
 }
 
-// findEnd learns where the changes end, where no snapshot is there: this node may be the one that
+// findChangesEnd finds the end of the changes if there is no snapshot: this node may be the one that
 // relays.
-func (l *List) findEnd(ctx context.Context) error {
+func (l *List) findChangesEnd(ctx context.Context) error {
 	read, err := store.ReadPage(ctx, l.options.Log, changesPartition, 0, 0, 1)
 	end := read.End
 	var trimmed *store.TrimmedError
 	if errors.As(err, &trimmed) {
-		end, err = trimmed.First, nil // an append at that end is told the right one
+		end, err = trimmed.First, nil // an append there is rejected with the actual end
 	}
 	if err != nil {
 		return err
 	}
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.relay.begin(end)
-	l.relayRead, l.relayReadAt = true, clock.Now()
+	l.relay.startAt(end)
+	l.relayCaughtUp, l.relayCaughtUpAt = true, clock.Now()
 	return nil
 }
 
@@ -154,11 +154,11 @@
 	read, err := l.options.Log.Read(ctx, changesPartition, from, wait)
 	var trimmed *store.TrimmedError
 	if errors.As(err, &trimmed) {
-		// The next snapshot is younger than what was dropped.
+		// The next snapshot is newer than what was dropped.
 		l.options.Logger.Info("changes of the list missed", zap.Int64("offset", from), zap.Int64("first", trimmed.First))
 		l.mutex.Lock()
 		defer l.mutex.Unlock()
-		l.relay.restart()
+		l.relay.reset()
 		return nil
 	}
 	if err != nil {
@@ -168,21 +168,21 @@
 	return nil
 }
 
-// readRecord is a record of the relay with its offset.
-type readRecord struct {
+// offsetRecord is a record of the relay with its offset.
+type offsetRecord struct {
 	offset int64
 	record *relayRecord
 }
 
-func (l *List) decodeRecords(stored []store.Record) []readRecord {
-	records := make([]readRecord, 0, len(stored))
-	for _, one := range stored {
-		record, err := decodeRelay(one.Value)
+func (l *List) decodeRecords(stored []store.Record) []offsetRecord {
+	records := make([]offsetRecord, 0, len(stored))
+	for _, storeRecord := range stored {
+		record, err := decodeRecord(storeRecord.Value)
 		if err != nil {
-			l.options.Logger.Error("relay void", zap.Int64("offset", one.Offset), zap.Error(err))
+			l.options.Logger.Error("invalid relay record", zap.Int64("offset", storeRecord.Offset), zap.Error(err))
 			continue
 		}
-		records = append(records, readRecord{offset: one.Offset, record: record})
+		records = append(records, offsetRecord{offset: storeRecord.Offset, record: record})
 	}
 	return records
 }
@@ -193,21 +193,21 @@
 	l.mutex.Lock()
 	var changes []directory.Change
 	for _, read := range records {
-		changes = append(changes, l.relay.handle(now, read.offset, read.record, !l.relayRead)...)
+		changes = append(changes, l.relay.handleRecord(now, read.offset, read.record, !l.relayCaughtUp)...)
 	}
 	l.relay.end = max(l.relay.end, read.Next)
-	if !l.relayRead && read.Next >= read.End {
-		l.relayRead, l.relayReadAt = true, now
+	if !l.relayCaughtUp && read.Next >= read.End {
+		l.relayCaughtUp, l.relayCaughtUpAt = true, now
 	}
 	var effective []directory.Change
-	if l.complete && !l.direct && len(read.Records) > 0 {
-		l.next = l.relay.next
+	if l.complete && !l.readsHeartbeats && len(read.Records) > 0 {
+		l.nextOffset = l.relay.heartbeatOffset
 		l.options.Directory.NoteRead(now)
 		effective = l.options.Directory.Apply(changes)
 	}
 	l.mutex.Unlock()
 	if len(effective) > 0 {
-		l.log(zap.DebugLevel, effective)
-		l.options.Changed()
+		l.logChanges(zap.DebugLevel, effective)
+		l.options.OnChange()
 	}
 }
--- a/internal/serverlist/publish.go
+++ b/internal/serverlist/publish.go
@@ -16,11 +16,11 @@
 const (
 	// publishTimeout bounds an append or a trim.
 	publishTimeout = 700 * time.Millisecond
-	// readAgeLimit is the age of the directory beyond which it is not relayed.
-	readAgeLimit = 700 * time.Millisecond
-	// snapshotsOfHistory is the number of snapshots for which changes are kept: a node that could not
-	// read for that long begins with a snapshot.
-	snapshotsOfHistory = 5
+	// maxListAge is the age of the directory beyond which it is not relayed.
+	maxListAge = 700 * time.Millisecond
+	// retainedSnapshots is the number of snapshots for which changes are retained; a node that could not read
+	// for longer starts with a snapshot.
+	retainedSnapshots = 5
 )
 
 // runPublisher relays the list of a large fleet while this node reads the heartbeats.
@@ -32,14 +32,14 @@
 	}
 }
 
-// publishChanges appends what is to be told now on the condition of the relay's end: of
-// several nodes that relay one is heard, and one that was held up adds nothing.
+// publishChanges appends the current changes on the condition that the relay ends where this node last read
+// it: of several publishing nodes only one succeeds, and one that was paused appends nothing.
 func (l *List) publishChanges(ctx context.Context) error {
 	records, at := l.nextChanges(clock.Now())
 	if len(records) == 0 {
 		return nil
 	}
-	payloads, err := encodeRelays(records)
+	payloads, err := encodeRecords(records)
 	if err != nil {
 		return err
 	}
@@ -50,9 +50,9 @@
 	defer l.mutex.Unlock()
 	var condition *store.ConditionError
 	if errors.As(err, &condition) {
-		// What another node told is read next, or with the snapshot that follows it.
+		// The other node's records are read next, or with the snapshot that follows them.
 		if l.relay.servers == nil {
-			l.relay.begin(condition.End)
+			l.relay.startAt(condition.End)
 		}
 		return nil
 	}
@@ -60,43 +60,43 @@
 		return err
 	}
 	for i, record := range records {
-		l.relay.handle(clock.Now(), offset+int64(i), record, false)
+		l.relay.handleRecord(clock.Now(), offset+int64(i), record, false)
 	}
 	return nil
 }
 
-// relaysLocked says whether this node is to relay the list now.
-func (l *List) relaysLocked() bool { return l.direct && l.complete && l.relayRead }
+// isRelayingLocked reports whether this node is to relay the list now.
+func (l *List) isRelayingLocked() bool { return l.readsHeartbeats && l.complete && l.relayCaughtUp }
 
-// nextChanges returns the records to append now and the end to append them at.
+// nextChanges returns the records to append now and the offset at which to append them.
 func (l *List) nextChanges(now time.Time) ([]*relayRecord, int64) {
-	shared := l.options.Shared()
-	if shared == nil || !l.Large() || l.options.Directory.Age(now) > readAgeLimit {
+	shared := l.options.SharedServices()
+	if shared == nil || !l.LargeFleet() || l.options.Directory.Age(now) > maxListAge {
 		return nil, 0
 	}
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if !l.relaysLocked() {
+	if !l.isRelayingLocked() {
 		return nil, 0
 	}
-	from := source{snapshot: l.options.Directory.Snapshot(), shared: shared, read: l.next, whole: l.versions, leading: l.options.Leading()}
-	return l.relay.tell(now, from), l.relay.end
+	state := listState{snapshot: l.options.Directory.Snapshot(), shared: shared, heartbeatOffset: l.nextOffset, complete: l.hasVersions, leading: l.options.Leading()}
+	return l.relay.nextRecords(now, state), l.relay.end
 }
 
-// publishSnapshot appends what was told so far, for nodes that start.
+// publishSnapshot appends a snapshot of the relayed list, for nodes that start.
 func (l *List) publishSnapshot(ctx context.Context) error {
 	records := l.nextSnapshot(clock.Now())
 	if len(records) == 0 {
 		return nil
 	}
-	payloads, err := encodeRelays(records)
+	payloads, err := encodeRecords(records)
 	if err != nil {
 		return err
 	}
 	ctx, cancel := context.WithTimeout(ctx, publishTimeout)
 	defer cancel()
 	first := int64(-1)
-	for call := range slices.Chunk(payloads, recordsOfCall) {
+	for call := range slices.Chunk(payloads, maxRecordsPerAppend) {
 		offset, err := l.options.Log.Append(ctx, snapshotPartition, call)
 		if err != nil {
 			return err
@@ -105,27 +105,27 @@
 			first = offset
 		}
 	}
-	// Nodes that start begin at the first record that is kept.
+	// Nodes that start read from the first retained record.
 	return errors.Join(l.options.Log.Trim(ctx, snapshotPartition, first), l.trimChanges(ctx, records[0].Since))
 }
 
 func (l *List) nextSnapshot(now time.Time) []*relayRecord {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if !l.relaysLocked() {
+	if !l.isRelayingLocked() {
 		return nil
 	}
-	return l.relay.snapshot(now)
+	return l.relay.snapshotRecords(now)
 }
 
-// trimChanges drops changes that were told long before the newest snapshot, whose changes begin at
-// since. One goroutine calls it.
+// trimChanges removes changes older than the retained snapshots; since is where the changes after the
+// newest snapshot begin. It must be called by one goroutine only.
 func (l *List) trimChanges(ctx context.Context, since int64) error {
-	l.snapshotsSince = append(l.snapshotsSince, since)
-	if len(l.snapshotsSince) <= snapshotsOfHistory {
+	l.snapshotStarts = append(l.snapshotStarts, since)
+	if len(l.snapshotStarts) <= retainedSnapshots {
 		return nil
 	}
-	before := l.snapshotsSince[0]
-	l.snapshotsSince = l.snapshotsSince[1:]
+	before := l.snapshotStarts[0]
+	l.snapshotStarts = l.snapshotStarts[1:]
 	return l.options.Log.Trim(ctx, changesPartition, before)
 }
--- a/internal/serverlist/record.go
+++ b/internal/serverlist/record.go
@@ -10,40 +10,40 @@
 	"dalehook/internal/directory"
 )
 
-// relayRecord is what a node that reads the heartbeats tells the others of the list: entries without
-// their weight versions, which only the coordinator needs. Many entries take several records, which
-// stand one after the other.
+// relayRecord is a record by which a node that reads the heartbeats publishes the list to the others:
+// entries without their weight versions, which only the coordinator needs. Many entries are split across
+// consecutive records.
 type relayRecord struct {
-	// Author names the process that wrote the record.
+	// Author is the name of the process that wrote the record.
 	Author string
-	// First says that the record begins, and More that further ones belong to it.
+	// First is set in the first record of a sequence, More if further records belong to it.
 	First, More bool
-	// All says that the records hold all servers that are relayed, else they hold what changed
-	// since the records before.
+	// All is set if the records hold all relayed servers; otherwise they hold the changes since the records
+	// before.
 	All     bool
 	Put     []relayEntry
 	Removed []string
-	// Next is the offset in the topic of servers up to which the author had read.
+	// Next is the offset in the topic of servers up to which the author has read.
 	Next int64
 	// Total is the number of servers of all services.
 	Total int
-	// Since is, in a snapshot, the offset from which on changes are to be read.
+	// Since is, in a snapshot, the offset from which the changes are to be read.
 	Since int64
 }
 
 type relayEntry struct {
 	ID string
-	// Born is 0 in entries of nodes that do not tell it.
+	// Born is 0 in entries of nodes that do not report it.
 	Born                   int64
 	Service, Address, Zone string
 	Slots                  int
 	Draining               bool
-	// Warming is how much longer the server is slow since it started, when the record was made.
+	// Warming is the remaining warm-up time of the server when the record was created.
 	Warming time.Duration
 	Digest  uint64
 }
 
-func entryOf(now time.Time, server *directory.Server) relayEntry {
+func newRelayEntry(now time.Time, server *directory.Server) relayEntry {
 	return relayEntry{
 		Warming: max(server.WarmAt.Sub(now), 0),
 		ID:      server.ID, Born: server.Born, Service: server.Service, Address: server.Address, Zone: server.Zone,
@@ -51,7 +51,7 @@
 	}
 }
 
-// server returns the entry of a record that is read at now.
+// server converts the entry of a record that is read at now.
 func (e relayEntry) server(now time.Time) *directory.Server {
 	server := &directory.Server{
 		ID: e.ID, Born: e.Born, Service: e.Service, Address: e.Address, Zone: e.Zone,
@@ -64,16 +64,16 @@
 }
 
 const (
-	// entriesOfRecord bounds the entries of a record, at some 30 KB where a store may take no more
-	// than 256 KB, whatever the number of servers.
-	entriesOfRecord = 1000
-	// recordsOfCall bounds the records that are appended at once, since a store may take no more than
-	// 2 MB by one call: 40,000 servers. What is left of changes is told next.
-	recordsOfCall = 40
+	// maxEntriesPerRecord keeps records at about 30 KB, independent of the number of servers; a store may
+	// accept no more than 256 KB.
+	maxEntriesPerRecord = 1000
+	// maxRecordsPerAppend bounds the records of one append, since a store may accept no more than 2 MB per
+	// call: 40,000 servers. Remaining changes are published next.
+	maxRecordsPerAppend = 40
 )
 
-// inParts returns records that hold entries together, the first with what the head has beside them.
-func inParts(head relayRecord, entries []relayEntry) []*relayRecord {
+// splitRecords splits entries across records, of which the first also carries the other fields of the head.
+func splitRecords(head relayRecord, entries []relayEntry) []*relayRecord {
 	var records []*relayRecord
 	for first := true; first || len(entries) > 0; first = false {
 		record := head
@@ -81,7 +81,7 @@
 		if !first {
 			record.Removed = nil
 		}
-		count := min(len(entries), entriesOfRecord)
+		count := min(len(entries), maxEntriesPerRecord)
 		record.Put, entries = entries[:count], entries[count:]
 		records = append(records, &record)
 	}
@@ -89,27 +89,27 @@
 	return records
 }
 
-// encodeRelay encodes a record and compresses it: snapshots have thousands of entries alike, and
-// all nodes that start at once read one.
-func encodeRelay(record *relayRecord) ([]byte, error) {
+// encodeRecord encodes and compresses a record: snapshots have thousands of similar entries, and all nodes
+// that start at the same time read one.
+func encodeRecord(record *relayRecord) ([]byte, error) {
 	var buffer bytes.Buffer
 	compressor, err := flate.NewWriter(&buffer, flate.BestSpeed)
 	if err != nil {
-		return nil, fmt.Errorf("compress a relay of the list: %w", err)
+		return nil, fmt.Errorf("compress a relay record: %w", err)
 	}
 	if err := gob.NewEncoder(compressor).Encode(record); err != nil {
-		return nil, fmt.Errorf("encode a relay of the list: %w", err)
+		return nil, fmt.Errorf("encode a relay record: %w", err)
 	}
 	if err := compressor.Close(); err != nil {
-		return nil, fmt.Errorf("compress a relay of the list: %w", err)
+		return nil, fmt.Errorf("compress a relay record: %w", err)
 	}
 	return buffer.Bytes(), nil
 }
 
-func encodeRelays(records []*relayRecord) ([][]byte, error) {
+func encodeRecords(records []*relayRecord) ([][]byte, error) {
 	payloads := make([][]byte, 0, len(records))
 	for _, record := range records {
-		payload, err := encodeRelay(record)
+		payload, err := encodeRecord(record)
 		if err != nil {
 			return nil, err
 		}
@@ -118,10 +118,10 @@
 	return payloads, nil
 }
 
-func decodeRelay(payload []byte) (*relayRecord, error) {
+func decodeRecord(payload []byte) (*relayRecord, error) {
 	record := &relayRecord{}
 	if err := gob.NewDecoder(flate.NewReader(bytes.NewReader(payload))).Decode(record); err != nil {
-		return nil, fmt.Errorf("decode a relay of the list: %w", err)
+		return nil, fmt.Errorf("decode a relay record: %w", err)
 	}
 	return record, nil
 }
--- a/internal/serverlist/relay.go
+++ b/internal/serverlist/relay.go
@@ -8,61 +8,61 @@
 	"dalehook/internal/directory"
 )
 
-// The timing of relays.
+// Timing of the relay.
 const (
-	// snapshotInterval is the time between two snapshots, which a node that starts waits for at the
-	// most where the store has forgotten the last one.
+	// snapshotInterval is the time between two snapshots. It is the longest time a node that starts waits for a
+	// snapshot if the store has lost the last one.
 	snapshotInterval = 2 * time.Second
-	// deputyFactor is by how much a node that does not coordinate tells more seldom. The next record is
-	// not yet overdue then.
+	// deputyFactor is the factor by which a node that is not the coordinator publishes less often. The next
+	// record must not be overdue by then.
 	deputyFactor = 1.4
 )
 
-// relay folds the records of the relay and makes new ones. It does no I/O.
+// relay folds the records of the relay and creates new ones. It does no I/O.
 //
-// What changes is told in one partition, which all nodes follow. Snapshots stand in another one, and
-// are read by nodes that start alone: what the others read grows with the changes, not with the list.
+// Changes are published in one partition, which all nodes follow. Snapshots are in another one, which only
+// nodes that start read: what the others read grows with the changes, not with the list.
 type relay struct {
 	self string
-	// interval is the longest time between two records of changes, pause the shortest: each wakes all
+	// interval is the longest time between two records of changes, minGap the shortest: each record wakes all
 	// nodes.
-	interval, pause time.Duration
-	// servers is nil until a snapshot came, or a record that holds all servers.
+	interval, minGap time.Duration
+	// servers is nil until a snapshot or a record that holds all servers has been read.
 	servers map[string]*directory.Server
-	// total is the number of servers of all services, of which those that all nodes send requests to
-	// are relayed.
-	total int
-	// end is the offset after the last record of changes, next that up to which its author had
+	// totalServers is the number of servers of all services; only those of shared services are relayed.
+	totalServers int
+	// end is the offset after the last record of changes, heartbeatOffset the offset up to which its author had
 	// read the heartbeats.
-	end, next int64
-	// least is the offset from which on a snapshot's changes must begin: what was known before is
-	// younger than one of earlier changes.
-	least int64
-	// parts are records of changes that further ones belong to.
-	parts []*relayRecord
-	// toldAt is when the last changes came, toldByOthersAt the last ones of another process.
-	toldAt, toldByOthersAt time.Time
-	// snapshotAt is when this process last made a snapshot.
+	end, heartbeatOffset int64
+	// minSnapshotSince is the lowest offset at which the changes of an acceptable snapshot begin: an older
+	// snapshot is older than what was known before.
+	minSnapshotSince int64
+	// pendingParts are records of changes whose sequence is not complete yet.
+	pendingParts []*relayRecord
+	// lastRecordAt is when the last changes were read, lastForeignRecordAt when the last ones of another
+	// process were.
+	lastRecordAt, lastForeignRecordAt time.Time
+	// snapshotAt is when this process last created a snapshot.
 	snapshotAt time.Time
-	// comparedWith and comparedAt are the list and the end at which there was nothing to tell.
-	comparedWith *directory.Snapshot
-	comparedAt   int64
+	// comparedSnapshot and comparedEnd are the list and the end for which there was nothing to publish.
+	comparedSnapshot *directory.Snapshot
+	comparedEnd      int64
 }
 
-func newRelay(self string, interval, pause time.Duration) relay {
-	return relay{self: self, interval: interval, pause: pause}
+func newRelay(self string, interval, minGap time.Duration) relay {
+	return relay{self: self, interval: interval, minGap: minGap}
 }
 
-// begin has a node that knows no list follow the changes from an offset on.
-func (r *relay) begin(end int64) { r.end = max(r.end, end) }
+// startAt makes a node that knows no list follow the changes from an offset on.
+func (r *relay) startAt(end int64) { r.end = max(r.end, end) }
 
-// restart forgets what was told, after the store has dropped changes that were not read.
-func (r *relay) restart() { r.servers, r.parts, r.least = nil, nil, r.end }
+// reset discards the known list after the store has dropped changes that were not read.
+func (r *relay) reset() { r.servers, r.pendingParts, r.minSnapshotSince = nil, nil, r.end }
 
-// base takes a whole snapshot; it returns false for one that is older than what was known. Old is as
-// for handle.
-func (r *relay) base(now time.Time, parts []*relayRecord, old bool) bool {
-	if parts[0].Since < r.least {
+// loadSnapshot loads a complete snapshot; it returns false if that is older than what was known. For old
+// see handleRecord.
+func (r *relay) loadSnapshot(now time.Time, parts []*relayRecord, old bool) bool {
+	if parts[0].Since < r.minSnapshotSince {
 		return false
 	}
 	r.servers = make(map[string]*directory.Server)
@@ -72,37 +72,37 @@
 		}
 	}
 	first := parts[0]
-	r.parts = nil
-	r.end, r.next, r.total = first.Since, first.Next, first.Total
+	r.pendingParts = nil
+	r.end, r.heartbeatOffset, r.totalServers = first.Since, first.Next, first.Total
 	if !old && first.Author != r.self {
-		r.toldByOthersAt = now
+		r.lastForeignRecordAt = now
 	}
 	return true
 }
 
-// handle takes the record of changes at an offset and returns what it changes, together with the
-// records before that it belongs to. Changes to a list that is not known are void. Old says that the
-// record may have stood in the log for long, so that it says nothing of its author's being there.
-func (r *relay) handle(now time.Time, offset int64, record *relayRecord, old bool) []directory.Change {
+// handleRecord takes the record of changes at an offset and returns the changes made by it and the
+// preceding records of its sequence. Changes to an unknown list are ignored. Old is set if the record may
+// have been in the log for long, so that it does not show that its author is alive.
+func (r *relay) handleRecord(now time.Time, offset int64, record *relayRecord, old bool) []directory.Change {
 	if offset < r.end {
 		return nil
 	}
 	r.end = offset + 1
-	r.parts = append(r.parts, record)
+	r.pendingParts = append(r.pendingParts, record)
 	if record.More {
 		return nil
 	}
-	parts := r.parts
-	r.parts = nil
+	parts := r.pendingParts
+	r.pendingParts = nil
 	if r.servers == nil && !parts[0].All {
 		return nil
 	}
-	r.next, r.total = record.Next, record.Total
+	r.heartbeatOffset, r.totalServers = record.Next, record.Total
 	if !old {
-		r.toldAt = now
+		r.lastRecordAt = now
 	}
 	if !old && record.Author != r.self {
-		r.toldByOthersAt = now
+		r.lastForeignRecordAt = now
 	}
 	return r.apply(now, parts)
 }
@@ -134,70 +134,70 @@
 	return changes
 }
 
-// source is the list that a node relays.
-type source struct {
+// listState is the list that a node relays.
+type listState struct {
 	snapshot *directory.Snapshot
-	// shared says whether all nodes send requests to the servers of a service.
+	// shared reports whether all nodes send requests to the servers of a service.
 	shared func(service string) bool
-	// read is the offset up to which the heartbeats were read.
-	read int64
-	// leading says that the node coordinates.
+	// heartbeatOffset is the offset up to which the heartbeats were read.
+	heartbeatOffset int64
+	// leading is set if the node is the coordinator.
 	leading bool
-	// whole says that the list holds all servers, and not only what came since the relay told last.
-	whole bool
+	// complete is set if the list holds all servers, not only changes since the last relay record.
+	complete bool
 }
 
-// tell returns the records of changes to append at the relay's end, or none.
-func (r *relay) tell(now time.Time, from source) []*relayRecord {
-	if from.read < r.next {
-		return nil // others know more
+// nextRecords returns the records of changes to append at the relay's end, or none.
+func (r *relay) nextRecords(now time.Time, state listState) []*relayRecord {
+	if state.heartbeatOffset < r.heartbeatOffset {
+		return nil // others have read further
 	}
-	interval, pause := r.interval, r.pause
-	if !from.leading {
-		// The coordinator goes first, so that whoever relays in its place hears it, and ends.
-		interval, pause = time.Duration(deputyFactor*float64(interval)), time.Duration(deputyFactor*float64(pause))
+	interval, minGap := r.interval, r.minGap
+	if !state.leading {
+		// The coordinator publishes first, so that a node that relays in its place reads its records and stops.
+		interval, minGap = time.Duration(deputyFactor*float64(interval)), time.Duration(deputyFactor*float64(minGap))
 	}
-	if r.servers != nil && now.Sub(r.toldAt) < pause {
+	if r.servers != nil && now.Sub(r.lastRecordAt) < minGap {
 		return nil
 	}
-	due := now.Sub(r.toldAt) >= interval
-	if !due && r.servers != nil && from.snapshot == r.comparedWith && r.end == r.comparedAt {
+	due := now.Sub(r.lastRecordAt) >= interval
+	if !due && r.servers != nil && state.snapshot == r.comparedSnapshot && r.end == r.comparedEnd {
 		return nil
 	}
-	put, removed := r.compare(now, from)
-	next := from.read
-	if len(put) > entriesOfRecord*recordsOfCall {
-		// Whoever goes on from what is told now is to read what is told later.
-		put, next = put[:entriesOfRecord*recordsOfCall], r.next
+	put, removed := r.diff(now, state)
+	next := state.heartbeatOffset
+	if len(put) > maxEntriesPerRecord*maxRecordsPerAppend {
+		// Whoever continues from this record must still read the remaining changes.
+		put, next = put[:maxEntriesPerRecord*maxRecordsPerAppend], r.heartbeatOffset
 	}
 	if !due && r.servers != nil && len(put) == 0 && len(removed) == 0 {
-		r.comparedWith, r.comparedAt = from.snapshot, r.end
+		r.comparedSnapshot, r.comparedEnd = state.snapshot, r.end
 		return nil
 	}
-	head := relayRecord{Author: r.self, Next: next, Total: r.totalOf(from), All: r.servers == nil, Removed: removed}
-	return inParts(head, put)
+	head := relayRecord{Author: r.self, Next: next, Total: r.countServers(state), All: r.servers == nil, Removed: removed}
+	return splitRecords(head, put)
 }
 
-// totalOf returns the number of servers of all services.
-func (r *relay) totalOf(from source) int {
-	if from.whole {
-		return from.snapshot.Count()
+// countServers returns the number of servers of all services.
+func (r *relay) countServers(state listState) int {
+	if state.complete {
+		return state.snapshot.Count()
 	}
-	return max(from.snapshot.Count(), r.total)
+	return max(state.snapshot.Count(), r.totalServers)
 }
 
-// compare returns what the relay does not tell of a list yet.
-func (r *relay) compare(now time.Time, from source) (put []relayEntry, removed []string) {
+// diff returns the differences between a list and what the relay has published.
+func (r *relay) diff(now time.Time, state listState) (put []relayEntry, removed []string) {
 	current := make(map[string]bool)
-	from.snapshot.Services(func(service string, servers []*directory.Server) {
-		if !from.shared(service) {
+	state.snapshot.Services(func(service string, servers []*directory.Server) {
+		if !state.shared(service) {
 			return
 		}
 		for _, server := range servers {
 			current[server.ID] = true
 			before := r.servers[server.ID]
 			if before == nil || !directory.SameIgnoringVersions(before, server) || directory.TurnedSlow(before, server) {
-				put = append(put, entryOf(now, server))
+				put = append(put, newRelayEntry(now, server))
 			}
 		}
 	})
@@ -209,36 +209,36 @@
 	return put, removed
 }
 
-// snapshot returns the records of a snapshot of what was told, or none where the last one is young
-// enough.
-func (r *relay) snapshot(now time.Time) []*relayRecord {
+// snapshotRecords returns the records of a snapshot of the published list, or none if the last snapshot is
+// recent enough.
+func (r *relay) snapshotRecords(now time.Time) []*relayRecord {
 	if r.servers == nil || now.Sub(r.snapshotAt) < snapshotInterval {
 		return nil
 	}
 	r.snapshotAt = now
 	entries := make([]relayEntry, 0, len(r.servers))
 	for _, id := range slices.Sorted(maps.Keys(r.servers)) {
-		entries = append(entries, entryOf(now, r.servers[id]))
+		entries = append(entries, newRelayEntry(now, r.servers[id]))
 	}
-	return inParts(relayRecord{Author: r.self, Next: r.next, Total: r.total, All: true, Since: r.end}, entries)
+	return splitRecords(relayRecord{Author: r.self, Next: r.heartbeatOffset, Total: r.totalServers, All: true, Since: r.end}, entries)
 }
 
-// newestSnapshot returns the records of the newest snapshot that is whole, or none. Records of two
-// authors may stand between each other's.
-func newestSnapshot(records []*relayRecord) []*relayRecord {
+// newestCompleteSnapshot returns the records of the newest complete snapshot, or none. Records of two
+// authors may be interleaved.
+func newestCompleteSnapshot(records []*relayRecord) []*relayRecord {
 	var newest []*relayRecord
-	under := make(map[string][]*relayRecord)
+	partsByAuthor := make(map[string][]*relayRecord)
 	for _, record := range records {
-		parts := under[record.Author]
+		parts := partsByAuthor[record.Author]
 		if len(parts) > 0 && parts[0].Since != record.Since {
 			parts = nil
 		}
 		parts = append(parts, record)
 		if record.More {
-			under[record.Author] = parts
+			partsByAuthor[record.Author] = parts
 			continue
 		}
-		delete(under, record.Author)
+		delete(partsByAuthor, record.Author)
 		if parts[0].First && (newest == nil || record.Since >= newest[0].Since) {
 			newest = parts
 		}
@@ -246,8 +246,8 @@
 	return newest
 }
 
-// list returns all servers that are relayed, ordered by id.
-func (r *relay) list() []directory.Server {
+// listServers returns all relayed servers, ordered by id.
+func (r *relay) listServers() []directory.Server {
 	servers := make([]directory.Server, 0, len(r.servers))
 	for _, id := range slices.Sorted(maps.Keys(r.servers)) {
 		servers = append(servers, *r.servers[id])
--- a/internal/serverlist/relay_test.go
+++ b/internal/serverlist/relay_test.go
@@ -12,64 +12,65 @@
 
 const relayInterval = 500 * time.Millisecond
 
-func entry(id string, draining bool) directory.Server {
+func testServer(id string, draining bool) directory.Server {
 	return directory.Server{ID: id, Service: "s", Address: id + ":1", Slots: 4, Draining: draining}
 }
 
-// wire is a log of relay records, and the nodes that fold it.
-type wire struct {
-	t   *testing.T
-	now time.Time
-	log []*relayRecord
-	// shared says which services are relayed; nil for all.
-	shared func(service string) bool
-	list   *directory.Directory
+// relayLog is a log of relay records, and the nodes that fold it.
+type relayLog struct {
+	t       *testing.T
+	now     time.Time
+	records []*relayRecord
+	// shared tells which services are relayed; nil for all.
+	shared    func(service string) bool
+	directory *directory.Directory
 }
 
-func newWire(t *testing.T, servers ...directory.Server) *wire {
-	w := &wire{t: t, now: time.Unix(1000, 0), list: directory.NewDirectory()}
-	w.list.Replace(servers)
-	return w
+func newRelayLog(t *testing.T, servers ...directory.Server) *relayLog {
+	l := &relayLog{t: t, now: time.Unix(1000, 0), directory: directory.NewDirectory()}
+	l.directory.Replace(servers)
+	return l
 }
 
-// read folds what a node has not read.
-func (w *wire) read(node *relay) {
-	w.t.Helper()
-	for offset := node.end; offset < int64(len(w.log)); offset++ {
-		payload, err := encodeRelay(w.log[offset])
+// read folds the records that a node has not read.
+func (l *relayLog) read(node *relay) {
+	l.t.Helper()
+	for offset := node.end; offset < int64(len(l.records)); offset++ {
+		payload, err := encodeRecord(l.records[offset])
 		if err != nil {
-			w.t.Fatal(err)
+			l.t.Fatal(err)
 		}
-		record, err := decodeRelay(payload)
+		record, err := decodeRecord(payload)
 		if err != nil {
-			w.t.Fatal(err)
+			l.t.Fatal(err)
 		}
-		node.handle(w.now, offset, record, false)
+		node.handleRecord(l.now, offset, record, false)
 	}
 }
 
-func (w *wire) source(read int64) source {
-	shared := w.shared
+func (l *relayLog) state(heartbeatOffset int64) listState {
+	shared := l.shared
 	if shared == nil {
 		shared = func(string) bool { return true }
 	}
-	return source{snapshot: w.list.Snapshot(), shared: shared, read: read, whole: true, leading: true}
+	return listState{snapshot: l.directory.Snapshot(), shared: shared, heartbeatOffset: heartbeatOffset, complete: true, leading: true}
 }
 
-// tell appends what a node tells, if its end is the log's, and returns the first record.
-func (w *wire) tell(node *relay, read int64) *relayRecord {
-	records := node.tell(w.now, w.source(read))
-	if len(records) == 0 || node.end != int64(len(w.log)) {
+// publish appends the records that a node publishes if it has read to the end of the log, and returns the
+// first.
+func (l *relayLog) publish(node *relay, heartbeatOffset int64) *relayRecord {
+	records := node.nextRecords(l.now, l.state(heartbeatOffset))
+	if len(records) == 0 || node.end != int64(len(l.records)) {
 		return nil
 	}
-	w.log = append(w.log, records...)
-	w.read(node)
+	l.records = append(l.records, records...)
+	l.read(node)
 	return records[0]
 }
 
-func ready(node *relay) []string {
+func readyIDs(node *relay) []string {
 	ids := []string{}
-	for _, server := range node.list() {
+	for _, server := range node.listServers() {
 		if !server.Draining {
 			ids = append(ids, server.ID)
 		}
@@ -77,106 +78,107 @@
 	return ids
 }
 
-func TestAReaderKnowsWhatWasTold(t *testing.T) {
-	w := newWire(t, entry("a", false), entry("b", false))
+func TestReaderKnowsPublishedList(t *testing.T) {
+	l := newRelayLog(t, testServer("a", false), testServer("b", false))
 	author, reader := newRelay("x", relayInterval, 0), newRelay("y", relayInterval, 0)
-	w.tell(&author, 10)
-	w.read(&reader)
-	if diff := cmp.Diff([]string{"a", "b"}, ready(&reader)); diff != "" {
+	l.publish(&author, 10)
+	l.read(&reader)
+	if diff := cmp.Diff([]string{"a", "b"}, readyIDs(&reader)); diff != "" {
 		t.Fatal(diff)
 	}
-	draining, added := entry("a", true), entry("c", false)
-	w.list.Apply([]directory.Change{{ID: "a", Server: &draining}, {ID: "b"}, {ID: "c", Server: &added}})
-	if record := w.tell(&author, 20); record == nil || record.All {
-		t.Fatalf("told %+v", record)
+	draining, added := testServer("a", true), testServer("c", false)
+	l.directory.Apply([]directory.Change{{ID: "a", Server: &draining}, {ID: "b"}, {ID: "c", Server: &added}})
+	if record := l.publish(&author, 20); record == nil || record.All {
+		t.Fatalf("published %+v", record)
 	}
-	w.read(&reader)
-	if diff := cmp.Diff([]string{"c"}, ready(&reader)); diff != "" {
+	l.read(&reader)
+	if diff := cmp.Diff([]string{"c"}, readyIDs(&reader)); diff != "" {
 		t.Error(diff)
 	}
-	if reader.next != 20 {
-		t.Errorf("read up to %d", reader.next)
+	if reader.heartbeatOffset != 20 {
+		t.Errorf("read up to offset %d", reader.heartbeatOffset)
 	}
 }
 
-func TestTheRelaySpeaksWhileNothingChanges(t *testing.T) {
-	w := newWire(t, entry("a", false))
+func TestRelayPublishesWithoutChanges(t *testing.T) {
+	l := newRelayLog(t, testServer("a", false))
 	author := newRelay("x", relayInterval, 0)
-	w.tell(&author, 1)
-	loaded := entry("a", false)
+	l.publish(&author, 1)
+	loaded := testServer("a", false)
 	loaded.Versions = map[string]int64{"m": 2}
-	w.list.Apply([]directory.Change{{ID: "a", Server: &loaded}})
-	w.now = w.now.Add(relayInterval / 2)
-	if record := w.tell(&author, 2); record != nil {
-		t.Errorf("new weights are relayed: %+v", record)
+	l.directory.Apply([]directory.Change{{ID: "a", Server: &loaded}})
+	l.now = l.now.Add(relayInterval / 2)
+	if record := l.publish(&author, 2); record != nil {
+		t.Errorf("a change of weight versions was relayed: %+v", record)
 	}
-	w.now = w.now.Add(relayInterval)
-	if record := w.tell(&author, 3); record == nil || record.All || len(record.Put) != 0 {
+	l.now = l.now.Add(relayInterval)
+	if record := l.publish(&author, 3); record == nil || record.All || len(record.Put) != 0 {
 		t.Errorf("after an interval: %+v", record)
 	}
-	w.now = w.now.Add(snapshotInterval)
-	if records := author.snapshot(w.now); len(records) != 1 || !records[0].All || len(records[0].Put) != 1 {
+	l.now = l.now.Add(snapshotInterval)
+	if records := author.snapshotRecords(l.now); len(records) != 1 || !records[0].All || len(records[0].Put) != 1 {
 		t.Errorf("after the interval of snapshots: %+v", records)
 	}
-	if records := author.snapshot(w.now.Add(snapshotInterval / 2)); len(records) != 0 {
-		t.Errorf("half an interval later: %+v", records)
+	if records := author.snapshotRecords(l.now.Add(snapshotInterval / 2)); len(records) != 0 {
+		t.Errorf("snapshot half an interval later: %+v", records)
 	}
 }
 
-// Authors that alternate tell one list: each says what changed since the other.
-func TestAuthorsFollowOnEachOther(t *testing.T) {
-	w := newWire(t, entry("a", false), entry("b", false))
+// Authors that alternate publish one list: each publishes the changes since the other's records.
+func TestAlternatingAuthorsPublishOneList(t *testing.T) {
+	l := newRelayLog(t, testServer("a", false), testServer("b", false))
 	first, second, reader := newRelay("x", relayInterval, 0), newRelay("y", relayInterval, 0), newRelay("z", relayInterval, 0)
-	w.tell(&first, 1)
-	w.list.Apply([]directory.Change{{ID: "a"}})
-	if record := w.tell(&second, 2); record != nil {
-		t.Fatal("told by a node that had not read the relay to its end")
+	l.publish(&first, 1)
+	l.directory.Apply([]directory.Change{{ID: "a"}})
+	if record := l.publish(&second, 2); record != nil {
+		t.Fatal("published by a node that had not read the relay to its end")
 	}
-	w.read(&second)
-	w.tell(&second, 2)
-	w.read(&first)
-	added := entry("c", false)
-	w.list.Apply([]directory.Change{{ID: "c", Server: &added}})
-	w.tell(&first, 3)
-	w.read(&reader)
-	if diff := cmp.Diff([]string{"b", "c"}, ready(&reader)); diff != "" {
+	l.read(&second)
+	l.publish(&second, 2)
+	l.read(&first)
+	added := testServer("c", false)
+	l.directory.Apply([]directory.Change{{ID: "c", Server: &added}})
+	l.publish(&first, 3)
+	l.read(&reader)
+	if diff := cmp.Diff([]string{"b", "c"}, readyIDs(&reader)); diff != "" {
 		t.Error(diff)
 	}
-	if records := first.tell(w.now.Add(relayInterval), w.source(2)); len(records) > 0 {
-		t.Errorf("a node that read less than was told tells %+v", records)
+	if records := first.nextRecords(l.now.Add(relayInterval), l.state(2)); len(records) > 0 {
+		t.Errorf("a node that has read less than was published publishes %+v", records)
 	}
 }
 
-func TestOldRecordsDoNotMakeTheRelayFresh(t *testing.T) {
+func TestOldRecordsDoNotRefreshRelay(t *testing.T) {
 	reader := newRelay("y", relayInterval, 0)
 	now := time.Unix(1000, 0)
-	reader.handle(now, 0, &relayRecord{Author: "x", First: true, All: true, Put: []relayEntry{{ID: "a", Service: "s"}}}, true)
-	if !reader.toldByOthersAt.IsZero() || len(reader.servers) != 1 {
-		t.Errorf("told at %v, %d servers", reader.toldByOthersAt, len(reader.servers))
+	reader.handleRecord(now, 0, &relayRecord{Author: "x", First: true, All: true, Put: []relayEntry{{ID: "a", Service: "s"}}}, true)
+	if !reader.lastForeignRecordAt.IsZero() || len(reader.servers) != 1 {
+		t.Errorf("last foreign record at %v, %d servers", reader.lastForeignRecordAt, len(reader.servers))
 	}
-	reader.handle(now, 1, &relayRecord{Author: "y", First: true}, false)
-	if !reader.toldByOthersAt.IsZero() {
-		t.Error("the own record counts as another's")
+	reader.handleRecord(now, 1, &relayRecord{Author: "y", First: true}, false)
+	if !reader.lastForeignRecordAt.IsZero() {
+		t.Error("a record of the node itself counts as foreign")
 	}
-	reader.handle(now, 2, &relayRecord{Author: "x", First: true}, false)
-	if !reader.toldByOthersAt.Equal(now) {
-		t.Errorf("told at %v", reader.toldByOthersAt)
+	reader.handleRecord(now, 2, &relayRecord{Author: "x", First: true}, false)
+	if !reader.lastForeignRecordAt.Equal(now) {
+		t.Errorf("last foreign record at %v", reader.lastForeignRecordAt)
 	}
 }
 
-func TestChangesBeforeTheFirstFullRecordAreVoid(t *testing.T) {
+func TestChangesBeforeFirstFullRecordAreIgnored(t *testing.T) {
 	reader := newRelay("y", relayInterval, 0)
-	reader.handle(time.Unix(1000, 0), 7, &relayRecord{Author: "x", First: true, Put: []relayEntry{{ID: "b", Service: "s"}}}, false)
+	reader.handleRecord(time.Unix(1000, 0), 7, &relayRecord{Author: "x", First: true, Put: []relayEntry{{ID: "b", Service: "s"}}}, false)
 	if reader.servers != nil || reader.end != 8 {
 		t.Errorf("servers %v, end %d", reader.servers, reader.end)
 	}
 }
 
-// manyServers returns servers of a service that all nodes use and of one that the coordinator does.
+// manyServers returns servers that belong in turn to a shared service and to one used only by the
+// coordinator.
 func manyServers(count int) []directory.Server {
 	servers := make([]directory.Server, 0, count)
 	for number := range count {
-		server := entry(fmt.Sprintf("i-%08x", number*2654435761%(1<<32)), false)
+		server := testServer(fmt.Sprintf("i-%08x", number*2654435761%(1<<32)), false)
 		if number%2 == 1 {
 			server.Service = "engines"
 		}
@@ -185,37 +187,37 @@
 	return servers
 }
 
-// Seen: at 8,000 servers a list of all had no room in one record of the store.
-// A node that starts knows from the snapshot and the changes since what one knows that was there all
-// the time, whatever the number of servers; and of the services that all nodes use alone.
-func TestANodeThatStartsKnowsWhatTheOthersKnow(t *testing.T) {
+// Guards against a full list that does not fit one record of the store, which happened at 8,000 servers. A
+// node that starts must know, from the snapshot and the changes since, the same as a node that was there
+// all the time, for any number of servers and only for shared services.
+func TestStartingNodeKnowsSameAsOthers(t *testing.T) {
 	const recordBytes, callBytes = 256 << 10, 2 << 20
 	for _, count := range []int{2, 6000, 20_000, 60_000} {
-		w := newWire(t, manyServers(count)...)
-		w.shared = func(service string) bool { return service == "s" }
+		l := newRelayLog(t, manyServers(count)...)
+		l.shared = func(service string) bool { return service == "s" }
 		author, reader := newRelay("x", relayInterval, 0), newRelay("y", relayInterval, 0)
-		w.tell(&author, 10)
-		w.read(&reader)
-		snapshot := author.snapshot(w.now)
-		gone := w.list.Snapshot().Ready("s")[0].ID
-		w.list.Apply([]directory.Change{{ID: gone}})
-		w.now = w.now.Add(relayInterval)
-		w.tell(&author, 20)
-		w.read(&reader)
+		l.publish(&author, 10)
+		l.read(&reader)
+		snapshot := author.snapshotRecords(l.now)
+		gone := l.directory.Snapshot().Ready("s")[0].ID
+		l.directory.Apply([]directory.Change{{ID: gone}})
+		l.now = l.now.Add(relayInterval)
+		l.publish(&author, 20)
+		l.read(&reader)
 		starting := newRelay("z", relayInterval, 0)
-		if !starting.base(w.now, newestSnapshot(snapshot), true) {
-			t.Fatal("the snapshot was not taken")
+		if !starting.loadSnapshot(l.now, newestCompleteSnapshot(snapshot), true) {
+			t.Fatal("the snapshot was not loaded")
 		}
-		w.read(&starting)
-		if diff := cmp.Diff(ready(&reader), ready(&starting)); diff != "" || len(reader.servers) != count/2-1 {
+		l.read(&starting)
+		if diff := cmp.Diff(readyIDs(&reader), readyIDs(&starting)); diff != "" || len(reader.servers) != count/2-1 {
 			t.Errorf("%d servers, of which %d are known: %s", count, len(reader.servers), diff)
 		}
-		if starting.next != 20 || starting.total != count-1 {
-			t.Errorf("read up to %d, %d servers in all", starting.next, starting.total)
+		if starting.heartbeatOffset != 20 || starting.totalServers != count-1 {
+			t.Errorf("read up to offset %d, %d servers in total", starting.heartbeatOffset, starting.totalServers)
 		}
 		total := 0
 		for _, record := range snapshot {
-			payload, err := encodeRelay(record)
+			payload, err := encodeRecord(record)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -224,14 +226,14 @@
 				t.Errorf("%d servers: a record of %d bytes", count, len(payload))
 			}
 		}
-		if total/len(snapshot)*recordsOfCall > callBytes {
-			t.Errorf("%d servers: a call of %d bytes", count, total/len(snapshot)*recordsOfCall)
+		if total/len(snapshot)*maxRecordsPerAppend > callBytes {
+			t.Errorf("%d servers: an append of %d bytes", count, total/len(snapshot)*maxRecordsPerAppend)
 		}
 	}
 }
 
-// What was told by one author stands between what another told; a snapshot whose end is missing is none.
-func TestOnlyWholeSnapshotsAreTaken(t *testing.T) {
+// Records of two authors may be interleaved; a snapshot whose last record is missing is ignored.
+func TestOnlyCompleteSnapshotsAreUsed(t *testing.T) {
 	record := func(author string, since int64, first, more bool) *relayRecord {
 		return &relayRecord{Author: author, Since: since, First: first, More: more, All: true}
 	}
@@ -250,57 +252,58 @@
 	}
 	for _, c := range cases {
 		since := int64(-1)
-		if parts := newestSnapshot(c.records); parts != nil {
+		if parts := newestCompleteSnapshot(c.records); parts != nil {
 			since = parts[0].Since
 		}
 		if since != c.since {
-			t.Errorf("%s: taken since %d, want %d", c.name, since, c.since)
+			t.Errorf("%s: loaded a snapshot with Since %d, want %d", c.name, since, c.since)
 		}
 	}
 }
 
-// More changes than one call takes are told in several; who goes on from what is told reads the rest.
-func TestChangesThatAreCutAreNotCountedAsRead(t *testing.T) {
-	const most = entriesOfRecord * recordsOfCall
-	w := newWire(t, manyServers(3*most)...)
+// Changes that exceed one append are published in several; a node that continues from the first must read
+// the rest.
+func TestTruncatedChangesAreNotCountedAsRead(t *testing.T) {
+	const most = maxEntriesPerRecord * maxRecordsPerAppend
+	l := newRelayLog(t, manyServers(3*most)...)
 	author := newRelay("x", relayInterval, 0)
-	w.tell(&author, 10)
-	if len(author.servers) != most || author.next != 0 {
-		t.Fatalf("%d servers told, read up to %d", len(author.servers), author.next)
+	l.publish(&author, 10)
+	if len(author.servers) != most || author.heartbeatOffset != 0 {
+		t.Fatalf("%d servers published, read up to offset %d", len(author.servers), author.heartbeatOffset)
 	}
 	for range 2 {
-		w.tell(&author, 10)
+		l.publish(&author, 10)
 	}
-	if len(author.servers) != 3*most || author.next != 10 {
-		t.Errorf("%d servers told, read up to %d", len(author.servers), author.next)
+	if len(author.servers) != 3*most || author.heartbeatOffset != 10 {
+		t.Errorf("%d servers published, read up to offset %d", len(author.servers), author.heartbeatOffset)
 	}
 }
 
-// Seen: a node that had relayed while there was no coordinator went on beside it for good, each of its
-// records coming a moment before the coordinator's next one was due.
-// The coordinator's records come first, whoever of them looks first.
-func TestTheCoordinatorTellsBeforeADeputy(t *testing.T) {
-	w := newWire(t, entry("a", false))
+// Guards against two publishers: a node that had relayed while there was no coordinator kept publishing
+// beside it, each of its records arriving just before the coordinator's next one was due. The coordinator's
+// records must come first, whichever node checks first.
+func TestCoordinatorPublishesBeforeDeputy(t *testing.T) {
+	l := newRelayLog(t, testServer("a", false))
 	coordinator, deputy := newRelay("x", relayInterval, 0), newRelay("y", relayInterval, 0)
-	w.tell(&deputy, 1)
-	w.read(&coordinator)
-	told := map[string]int{}
+	l.publish(&deputy, 1)
+	l.read(&coordinator)
+	published := map[string]int{}
 	for range 100 {
-		w.now = w.now.Add(relayInterval / 5)
-		from := w.source(1)
-		from.leading = false
-		if records := deputy.tell(w.now, from); len(records) > 0 {
-			w.log = append(w.log, records...)
-			w.read(&deputy)
-			told["deputy"]++
+		l.now = l.now.Add(relayInterval / 5)
+		state := l.state(1)
+		state.leading = false
+		if records := deputy.nextRecords(l.now, state); len(records) > 0 {
+			l.records = append(l.records, records...)
+			l.read(&deputy)
+			published["deputy"]++
 		}
-		w.read(&coordinator)
-		if w.tell(&coordinator, 1) != nil {
-			told["coordinator"]++
+		l.read(&coordinator)
+		if l.publish(&coordinator, 1) != nil {
+			published["coordinator"]++
 		}
-		w.read(&deputy)
+		l.read(&deputy)
 	}
-	if told["deputy"] > 0 || told["coordinator"] < 15 {
-		t.Errorf("told %v", told)
+	if published["deputy"] > 0 || published["coordinator"] < 15 {
+		t.Errorf("records published: %v", published)
 	}
 }
