--- a/internal/fanout/builds_test.go
+++ b/internal/fanout/builds_test.go
@@ -11,9 +11,9 @@
 	"dalehook/internal/store"
 )
 
-// A node of a build that gives nothing to others is no node that has nothing: the asker is told of an error, and
-// reads the store.
-func TestANodeOfAnEarlierBuildGivesNothing(t *testing.T) {
+// A node of an earlier build without the fan-out service must not look like a node without the change: the
+// asker gets an error and reads the store.
+func TestEarlierBuildWithoutService(t *testing.T) {
 	ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 	defer cancel()
 	question := Question{From: -1, Next: 2, Asker: "x"}
@@ -21,8 +21,8 @@
 		t.Errorf("%+v", answer)
 	}
 	source := NewSource()
-	source.Take([]store.Record{record(1, "a", "1")}, true, 2)
-	source.NoteAsked(clock.Now())
+	source.Update([]store.Record{record(1, "a", "1")}, true, 2)
+	source.MarkUpToDate(clock.Now())
 	address := nodecalltest.Serve(t, func(server *rpc.Server) error { return Register(server, source) })
 	if answer, err := Fetch(ctx, CallNode, address, question); err != nil || !answer.Whole || answer.Next != 2 || len(answer.Records) != 1 {
 		t.Errorf("%+v, %v", answer, err)
--- a/internal/fanout/doc.go
+++ b/internal/fanout/doc.go
@@ -1,8 +1,8 @@
-// Package fanout brings what changes in a keyed topic to all nodes of a large fleet without each of them reading
-// it from the store, whose reads all nodes share.
+// Package fanout distributes changes of a keyed topic to all nodes of a large fleet without each of them
+// reading the topic from the store, whose read capacity all nodes share.
 //
-// One node, the coordinator, reads the topic, and tells all others how far it goes (package election). A node
-// that knows less reads what is small from the store, and has what is large from other nodes: the coordinator
-// gives it to a few, and sends the others to these, which do the same (Source, Fetch). Where nobody tells, or what
-// is told grows old, nodes read the store themselves, not all at once (Guide).
+// One node, the coordinator, reads the topic and announces its end to all others (package election). A node
+// that is behind reads small records from the store and fetches large ones from other nodes: the
+// coordinator serves a few nodes and redirects the others to these, which do the same (Source, Fetch).
+// Without an announcement, or once it is stale, nodes read the store themselves, spread over time (Guide).
 package fanout
--- a/internal/fanout/guide.go
+++ b/internal/fanout/guide.go
@@ -9,121 +9,126 @@
 	"dalehook/internal/follow"
 )
 
-// The timing of a node's reads.
+// Timing of a node's reads.
 const (
-	// silentFor is how long the coordinator, which tells each 0.6 s, may tell nothing while the store answers; then
-	// nodes begin to read by themselves within silentSpread. A successor mostly tells before.
-	silentFor    = 2500 * time.Millisecond
-	silentSpread = 2 * time.Second
-	// oldestTold is the age of the coordinator's own knowledge beyond which what it tells counts as silence: it may not
-	// be able to read, or have just taken over.
-	oldestTold = 1500 * time.Millisecond
-	// lostFor is how long the store may not answer whether the coordinator tells anything before a node tries to read
-	// the topic alone, within lostSpread: few of them are to do so just as the store comes back, since their reads
-	// of what is large would hold up the coordinator's. Until then other nodes read for it.
-	lostFor    = 2500 * time.Millisecond
-	lostSpread = 10 * time.Second
-	// aloneRetry is the time from such a try that failed to the next.
-	aloneRetry = 10 * time.Second
-	// askSpread is the time within which nodes ask each other for a change.
-	askSpread = 100 * time.Millisecond
-	// fetchTries is how often a node asks others for a change before it reads the store, within fallbackSpread.
-	fetchTries     = 2
-	fallbackSpread = 2 * time.Second
-	// shortestWait is the time between two looks at whether any of these is over.
-	shortestWait = 20 * time.Millisecond
+	// announcementTimeout is how long the coordinator, which announces every 0.6 s, may be silent while the
+	// store answers; then nodes start to read on their own, spread over announcementJitter. A successor usually
+	// announces earlier.
+	announcementTimeout = 2500 * time.Millisecond
+	announcementJitter  = 2 * time.Second
+	// maxAnnouncedAge is the age of the coordinator's own knowledge beyond which its announcement counts as
+	// silence: it may be unable to read, or may have just taken over.
+	maxAnnouncedAge = 1500 * time.Millisecond
+	// unreadableTimeout is how long a node may be unable to read announcements from the store before it tries
+	// to read the topic on its own, spread over unreadableJitter: only few nodes should do so just as the store
+	// recovers, since their reads of large records would delay the coordinator's. Until then other nodes read
+	// for it.
+	unreadableTimeout = 2500 * time.Millisecond
+	unreadableJitter  = 10 * time.Second
+	// aloneRetryDelay is the time from a failed attempt of that kind to the next.
+	aloneRetryDelay = 10 * time.Second
+	// fetchJitter is the interval over which nodes spread their requests to each other for a change.
+	fetchJitter = 100 * time.Millisecond
+	// maxFetchAttempts is how often a node asks others for a change before it reads the store, spread over
+	// fallbackJitter.
+	maxFetchAttempts = 2
+	fallbackJitter   = 2 * time.Second
+	// minWait is the shortest time between two evaluations of these timeouts.
+	minWait = 20 * time.Millisecond
 )
 
-// News is what a node was told of the topic.
-type News struct {
-	// Next is the offset up to which the topic goes, Large the one after the last large record.
+// Announcement is what a node was told about the topic.
+type Announcement struct {
+	// Next is the announced end of the topic, Large the offset after the last large record.
 	Next, Large int64
-	// Age is how old the teller's knowledge was when it told.
+	// Age is the age of the announcer's knowledge at the time of the announcement.
 	Age time.Duration
-	// At is when the store was asked for that, at the latest, HeardAt when this node heard it, by package clock.
-	At, HeardAt time.Time
-	// From is where the node answers that told it.
+	// AskedAt is a lower bound of the time at which the announcer sent its read to the store; ReceivedAt is
+	// when this node received the announcement, by package clock.
+	AskedAt, ReceivedAt time.Time
+	// From is the address of the announcing node.
 	From string
 }
 
-// Report is what a node knows of the coordinator's telling.
-type Report struct {
-	// Tells says that this node is the one that tells.
-	Tells bool
-	// News is what it was told last; nil where it was told nothing.
-	News *News
-	// ReadAt is when it last read where the coordinator tells, ReadSince since when all of its reads there were answered;
-	// zero while they are not.
-	ReadAt, ReadSince time.Time
+// Observation is what a node knows about the coordinator's announcements.
+type Observation struct {
+	// Announces is set if this node is the one that announces.
+	Announces bool
+	// Announcement is the last one received; nil for none.
+	Announcement *Announcement
+	// ReadAt is when this node last read the log of announcements. ReadableSince is the time since which all of
+	// its reads of that log have succeeded; zero while they fail.
+	ReadAt, ReadableSince time.Time
 }
 
-// GuideOptions configure a Guide.
+// GuideOptions configures a Guide.
 type GuideOptions struct {
-	// Share is this node's place among all, from 0 up to 1, by which nodes act one after the other.
+	// Share is this node's position among all nodes, from 0 up to 1, by which they spread their actions over
+	// time.
 	Share float64
-	// UpToDate is told that the node knows all that there was at a time; it may be nil.
-	UpToDate func(at time.Time)
+	// OnUpToDate is called with a time as of which the node is up to date; it may be nil.
+	OnUpToDate func(at time.Time)
 }
 
-// Guide tells a follower of the topic where to read next. It may be used by several goroutines.
+// Guide tells a follower of the topic where to read next. It is safe for concurrent use.
 type Guide struct {
 	options GuideOptions
 
-	mutex  sync.Mutex
-	report Report
-	// youngAt is when this node last heard news that were young as they were told; zero for never.
-	youngAt time.Time
-	// alone says that the store answers this node's own reads though it does not tell whether the coordinator
-	// tells anything, failedAt when it last did not; zero for not tried.
-	alone    bool
-	failedAt time.Time
-	// fetches counts the tries to have what is large up to the offset fetching from others, which began, or failed
-	// last, at fetchAt.
-	fetching int64
-	fetches  int
-	fetchAt  time.Time
-	// changed is closed when news come.
+	mutex       sync.Mutex
+	observation Observation
+	// lastFreshAt is when this node last received an announcement that was fresh when made; zero for never.
+	lastFreshAt time.Time
+	// readsAlone is set if the store answers this node's own reads of the topic although announcements cannot
+	// be read; aloneFailedAt is when such a read last failed, zero for never.
+	readsAlone    bool
+	aloneFailedAt time.Time
+	// fetchAttempts counts the failed attempts to fetch large records up to fetchTarget from other nodes;
+	// fetchAttemptAt is when fetching began or last failed.
+	fetchTarget    int64
+	fetchAttempts  int
+	fetchAttemptAt time.Time
+	// changed is closed when a new announcement arrives.
 	changed chan struct{}
 }
 
-// NewGuide returns the guide of a node that was told nothing.
+// NewGuide returns the guide of a node that has not received an announcement.
 func NewGuide(options GuideOptions) *Guide {
-	if options.UpToDate == nil {
-		options.UpToDate = func(time.Time) {}
+	if options.OnUpToDate == nil {
+		options.OnUpToDate = func(time.Time) {}
 	}
 	return &Guide{options: options, changed: make(chan struct{})}
 }
 
-// Observe takes what this node knows now.
-func (g *Guide) Observe(report Report) {
+// Observe takes the node's current observation of the announcements.
+func (g *Guide) Observe(observation Observation) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	before := g.report
-	g.report = report
-	if news := report.News; news != nil && (news.Age <= oldestTold || g.youngAt.IsZero()) {
-		g.youngAt = news.HeardAt
+	before := g.observation
+	g.observation = observation
+	if announcement := observation.Announcement; announcement != nil && (announcement.Age <= maxAnnouncedAge || g.lastFreshAt.IsZero()) {
+		g.lastFreshAt = announcement.ReceivedAt
 	}
-	if before.Tells == report.Tells && sameNews(before.News, report.News) && before.ReadSince.IsZero() == report.ReadSince.IsZero() {
+	if before.Announces == observation.Announces && sameAnnouncement(before.Announcement, observation.Announcement) && before.ReadableSince.IsZero() == observation.ReadableSince.IsZero() {
 		return
 	}
 	close(g.changed)
 	g.changed = make(chan struct{})
 }
 
-func sameNews(a, b *News) bool {
+func sameAnnouncement(a, b *Announcement) bool {
 	return a == b || a != nil && b != nil && *a == *b
 }
 
-// UntilContact returns a context that ends once the store answers again where the coordinator tells: what a node asks
-// others for while it does not is left then.
-func (g *Guide) UntilContact(ctx context.Context) (context.Context, context.CancelFunc) {
+// UntilReadable returns a context that ends once announcements can be read from the store again. Requests
+// that a node makes to others in the meantime are abandoned then.
+func (g *Guide) UntilReadable(ctx context.Context) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(ctx)
 	go func() {
 		for {
 			g.mutex.Lock()
-			inContact, changed := !g.report.ReadSince.IsZero(), g.changed
+			readable, changed := !g.observation.ReadableSince.IsZero(), g.changed
 			g.mutex.Unlock()
-			if inContact {
+			if readable {
 				cancel()
 			}
 			select {
@@ -136,21 +141,22 @@
 	return ctx, cancel
 }
 
-// Told says whether this node is told how far the topic goes, and so does not ask the store for it.
-func (g *Guide) Told() bool {
+// HasAnnouncement reports whether this node has been told how far the topic goes, and so does not ask the
+// store for it.
+func (g *Guide) HasAnnouncement() bool {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	return g.report.News != nil
+	return g.observation.Announcement != nil
 }
 
-// News returns what this node was told last; the zero value where it was told nothing.
-func (g *Guide) News() News {
+// Announcement returns the last announcement received, or the zero value for none.
+func (g *Guide) Announcement() Announcement {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	if g.report.News == nil {
-		return News{}
+	if g.observation.Announcement == nil {
+		return Announcement{}
 	}
-	return *g.report.News
+	return *g.observation.Announcement
 }
 
 // Await implements follow.Guide.
@@ -172,7 +178,7 @@
 	}
 }
 
-// decide returns the way to read, or how long there is nothing to read unless the report changes.
+// decide returns the way to read, or how long there is nothing to read unless the observation changes.
 func (g *Guide) decide(now time.Time, from int64) (way follow.Way, wait time.Duration, changed <-chan struct{}) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -181,69 +187,69 @@
 }
 
 func (g *Guide) decideLocked(now time.Time, from int64) (follow.Way, time.Duration) {
-	news := g.report.News
+	announcement := g.observation.Announcement
 	switch {
-	case g.report.Tells:
+	case g.observation.Announces:
 		return follow.WayStoreBriefly, 0
-	case news == nil:
+	case announcement == nil:
 		return follow.WayStore, 0
-	case g.report.ReadSince.IsZero():
-		return g.decideLost(now), 0
+	case g.observation.ReadableSince.IsZero():
+		return g.decideUnreadable(now), 0
 	}
-	untilAlone := g.aloneAt().Sub(now)
-	if untilAlone <= 0 {
+	untilReadAlone := g.readAloneAt().Sub(now)
+	if untilReadAlone <= 0 {
 		return follow.WayStore, 0
 	}
-	g.alone, g.failedAt = false, time.Time{}
-	if from >= news.Next {
-		g.options.UpToDate(news.At)
-		return 0, max(untilAlone, shortestWait)
+	g.readsAlone, g.aloneFailedAt = false, time.Time{}
+	if from >= announcement.Next {
+		g.options.OnUpToDate(announcement.AskedAt)
+		return 0, max(untilReadAlone, minWait)
 	}
-	if from >= news.Large {
+	if from >= announcement.Large {
 		return follow.WayStoreNow, 0
 	}
-	if news.From == "" {
-		return 0, max(untilAlone, shortestWait) // it is thought to have ended: its successor tells
+	if announcement.From == "" {
+		return 0, max(untilReadAlone, minWait) // it is believed to have ended: its successor will announce
 	}
 	return g.decideLarge(now)
 }
 
-// aloneAt returns when this node is to read by itself unless the coordinator tells something before.
-func (g *Guide) aloneAt() time.Time {
-	silentSince := g.youngAt
-	if g.report.ReadSince.After(silentSince) {
-		silentSince = g.report.ReadSince // before, nobody could tell
+// readAloneAt returns when this node is to read on its own unless it receives an announcement before.
+func (g *Guide) readAloneAt() time.Time {
+	silentSince := g.lastFreshAt
+	if g.observation.ReadableSince.After(silentSince) {
+		silentSince = g.observation.ReadableSince // before that no announcement could be read
 	}
-	return silentSince.Add(silentFor + g.shareOf(silentSpread))
+	return silentSince.Add(announcementTimeout + g.jitter(announcementJitter))
 }
 
-// decideLost is decide where the store does not answer whether the coordinator tells anything.
-func (g *Guide) decideLost(now time.Time) follow.Way {
-	if now.Sub(g.report.ReadAt) < lostFor+g.shareOf(lostSpread) {
+// decideUnreadable decides how to read while announcements cannot be read from the store.
+func (g *Guide) decideUnreadable(now time.Time) follow.Way {
+	if now.Sub(g.observation.ReadAt) < unreadableTimeout+g.jitter(unreadableJitter) {
 		return follow.WayOthers
 	}
 	switch {
-	case g.alone:
+	case g.readsAlone:
 		return follow.WayStore
-	case !g.failedAt.IsZero() && now.Sub(g.failedAt) < aloneRetry:
+	case !g.aloneFailedAt.IsZero() && now.Sub(g.aloneFailedAt) < aloneRetryDelay:
 		return follow.WayOthers
 	}
 	return follow.WayStoreTry
 }
 
-// decideLarge is decide where a large change is to be had.
+// decideLarge decides how to obtain a large change.
 func (g *Guide) decideLarge(now time.Time) (follow.Way, time.Duration) {
-	if g.fetching != g.report.News.Large {
-		g.fetching, g.fetches, g.fetchAt = g.report.News.Large, 0, now
+	if g.fetchTarget != g.observation.Announcement.Large {
+		g.fetchTarget, g.fetchAttempts, g.fetchAttemptAt = g.observation.Announcement.Large, 0, now
 	}
-	if g.fetches < fetchTries {
-		return follow.WayFetch, g.fetchAt.Add(g.shareOf(askSpread)).Sub(now)
+	if g.fetchAttempts < maxFetchAttempts {
+		return follow.WayFetch, g.fetchAttemptAt.Add(g.jitter(fetchJitter)).Sub(now)
 	}
-	return follow.WayStoreNow, g.fetchAt.Add(g.shareOf(fallbackSpread)).Sub(now)
+	return follow.WayStoreNow, g.fetchAttemptAt.Add(g.jitter(fallbackJitter)).Sub(now)
 }
 
-func (g *Guide) shareOf(spread time.Duration) time.Duration {
-	return time.Duration(g.options.Share * float64(spread))
+func (g *Guide) jitter(interval time.Duration) time.Duration {
+	return time.Duration(g.options.Share * float64(interval))
 }
 
 // Note implements follow.Guide.
@@ -253,12 +259,12 @@
 	now := clock.Now()
 	switch {
 	case way == follow.WayFetch && err != nil:
-		g.fetches++
-		g.fetchAt = now
+		g.fetchAttempts++
+		g.fetchAttemptAt = now
 	case way == follow.WayFetch:
 	case err == nil:
-		g.alone, g.failedAt = g.report.ReadSince.IsZero(), time.Time{}
+		g.readsAlone, g.aloneFailedAt = g.observation.ReadableSince.IsZero(), time.Time{}
 	default:
-		g.alone, g.failedAt = false, now
+		g.readsAlone, g.aloneFailedAt = false, now
 	}
 }
--- a/internal/fanout/guide_test.go
+++ b/internal/fanout/guide_test.go
@@ -10,42 +10,44 @@
 )
 
 // Where a node reads next, and how long it has nothing to read.
-func TestWhereANodeReads(t *testing.T) {
+func TestDecide(t *testing.T) {
 	now := clock.Now()
 	ago := func(age time.Duration) time.Time { return now.Add(-age) }
-	news := func(next, large int64, heard time.Duration) *News {
-		return &News{Next: next, Large: large, HeardAt: ago(heard), At: ago(heard + time.Second), From: "a"}
+	announcement := func(next, large int64, age time.Duration) *Announcement {
+		return &Announcement{Next: next, Large: large, ReceivedAt: ago(age), AskedAt: ago(age + time.Second), From: "a"}
+	}
+	readable := func(n *Announcement) Observation {
+		return Observation{Announcement: n, ReadAt: now, ReadableSince: ago(time.Hour)}
 	}
-	inContact := func(n *News) Report { return Report{News: n, ReadAt: now, ReadSince: ago(time.Hour)} }
 	cases := []struct {
-		name   string
-		report Report
-		from   int64
-		share  float64
-		way    follow.Way
-		waits  bool
+		name        string
+		observation Observation
+		from        int64
+		share       float64
+		way         follow.Way
+		waits       bool
 	}{
-		{"nobody tells", Report{ReadAt: now, ReadSince: ago(time.Hour)}, 5, 0, follow.WayStore, false},
-		{"this node tells", Report{Tells: true}, 5, 0, follow.WayStoreBriefly, false},
-		{"all is known", inContact(news(5, 2, 0)), 5, 0, 0, true},
-		{"more is known than the coordinator tells", inContact(news(5, 2, 0)), 7, 0, 0, true},
-		{"something small is new", inContact(news(6, 2, 0)), 5, 0, follow.WayStoreNow, false},
-		{"something large is new", inContact(news(6, 6, 0)), 5, 0, follow.WayFetch, false},
-		{"something large is new, and the coordinator is thought to have ended", inContact(&News{Next: 6, Large: 6, HeardAt: now}), 5, 0, 0, true},
-		{"nothing is known", inContact(news(6, 0, 0)), -1, 0, follow.WayFetch, false},
-		{"the coordinator has just fallen silent", inContact(news(5, 2, silentFor-1)), 5, 0, 0, true},
-		{"it is silent for long, a node that is early", inContact(news(5, 2, silentFor)), 5, 0, follow.WayStore, false},
-		{"it is silent for long, a node that is late", inContact(news(5, 2, silentFor)), 5, 0.9, 0, true},
-		{"it is silent for longer, a node that is late", inContact(news(5, 2, silentFor+silentSpread)), 5, 0.9, follow.WayStore, false},
-		{"the store answers again, and the coordinator could not tell", Report{News: news(5, 2, time.Minute), ReadAt: now, ReadSince: ago(time.Second)}, 5, 0, 0, true},
-		{"the store has just fallen silent", Report{News: news(5, 2, time.Second), ReadAt: ago(time.Second)}, 5, 0, follow.WayOthers, false},
-		{"it is silent for long, a node that is early", Report{News: news(5, 2, time.Second), ReadAt: ago(lostFor)}, 5, 0, follow.WayStoreTry, false},
-		{"it is silent for long, a node that is late", Report{News: news(5, 2, time.Second), ReadAt: ago(lostFor)}, 5, 0.9, follow.WayOthers, false},
+		{"no announcement", Observation{ReadAt: now, ReadableSince: ago(time.Hour)}, 5, 0, follow.WayStore, false},
+		{"this node announces", Observation{Announces: true}, 5, 0, follow.WayStoreBriefly, false},
+		{"all is known", readable(announcement(5, 2, 0)), 5, 0, 0, true},
+		{"more is known than announced", readable(announcement(5, 2, 0)), 7, 0, 0, true},
+		{"a small change", readable(announcement(6, 2, 0)), 5, 0, follow.WayStoreNow, false},
+		{"a large change", readable(announcement(6, 6, 0)), 5, 0, follow.WayFetch, false},
+		{"a large change, and the coordinator is believed to have ended", readable(&Announcement{Next: 6, Large: 6, ReceivedAt: now}), 5, 0, 0, true},
+		{"nothing is known", readable(announcement(6, 0, 0)), -1, 0, follow.WayFetch, false},
+		{"the coordinator was silent until just before the timeout", readable(announcement(5, 2, announcementTimeout-1)), 5, 0, 0, true},
+		{"the coordinator is silent, an early node", readable(announcement(5, 2, announcementTimeout)), 5, 0, follow.WayStore, false},
+		{"the coordinator is silent, a late node", readable(announcement(5, 2, announcementTimeout)), 5, 0.9, 0, true},
+		{"the coordinator is silent for longer, a late node", readable(announcement(5, 2, announcementTimeout+announcementJitter)), 5, 0.9, follow.WayStore, false},
+		{"the store answers again, and no announcement could be read before", Observation{Announcement: announcement(5, 2, time.Minute), ReadAt: now, ReadableSince: ago(time.Second)}, 5, 0, 0, true},
+		{"announcements have just become unreadable", Observation{Announcement: announcement(5, 2, time.Second), ReadAt: ago(time.Second)}, 5, 0, follow.WayOthers, false},
+		{"announcements are unreadable, an early node", Observation{Announcement: announcement(5, 2, time.Second), ReadAt: ago(unreadableTimeout)}, 5, 0, follow.WayStoreTry, false},
+		{"announcements are unreadable, a late node", Observation{Announcement: announcement(5, 2, time.Second), ReadAt: ago(unreadableTimeout)}, 5, 0.9, follow.WayOthers, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			g := NewGuide(GuideOptions{Share: c.share})
-			g.Observe(c.report)
+			g.Observe(c.observation)
 			way, wait, _ := g.decide(now, c.from)
 			if c.waits != (wait > 0) || !c.waits && way != c.way {
 				t.Errorf("way %d after %v", way, wait)
@@ -54,60 +56,60 @@
 	}
 }
 
-// A coordinator that tells, and can not read what it tells of, is as good as silent; one that has just taken over
-// is given the time to read it.
-func TestACoordinatorThatKnowsNothingNew(t *testing.T) {
+// A coordinator that announces but cannot read the topic counts as silent; one that has just taken over is
+// given time to read it.
+func TestCoordinatorWithStaleKnowledgeCountsAsSilent(t *testing.T) {
 	g := NewGuide(GuideOptions{})
 	now := clock.Now()
 	observe := func(at time.Time, age time.Duration) {
-		g.Observe(Report{News: &News{Next: 5, Age: age, HeardAt: at, At: at.Add(-age)}, ReadAt: at, ReadSince: now})
+		g.Observe(Observation{Announcement: &Announcement{Next: 5, Age: age, ReceivedAt: at, AskedAt: at.Add(-age)}, ReadAt: at, ReadableSince: now})
 	}
 	observe(now, 0)
 	for _, step := range []struct {
 		after time.Duration
 		waits bool
-	}{{silentFor / 2, true}, {silentFor - 1, true}, {silentFor, false}, {2 * silentFor, false}} {
+	}{{announcementTimeout / 2, true}, {announcementTimeout - 1, true}, {announcementTimeout, false}, {2 * announcementTimeout, false}} {
 		at := now.Add(step.after)
-		observe(at, oldestTold+step.after)
+		observe(at, maxAnnouncedAge+step.after)
 		if _, wait, _ := g.decide(at, 5); (wait > 0) != step.waits {
-			t.Errorf("%v after it last knew, it is counted on for %v", step.after, wait)
+			t.Errorf("%v after its last read, nodes still wait %v for it", step.after, wait)
 		}
 	}
-	observe(now.Add(3*silentFor), 0)
-	if _, wait, _ := g.decide(now.Add(3*silentFor), 5); wait <= 0 {
-		t.Error("a coordinator that reads again is not counted on")
+	observe(now.Add(3*announcementTimeout), 0)
+	if _, wait, _ := g.decide(now.Add(3*announcementTimeout), 5); wait <= 0 {
+		t.Error("nodes do not wait for a coordinator that reads again")
 	}
 }
 
-// A change that no node gives is read from the store in the end, by nodes one after the other.
-func TestAChangeThatNobodyGivesIsReadFromTheStore(t *testing.T) {
+// A change that no node serves is eventually read from the store, by the nodes one after the other.
+func TestUnservedChangeIsReadFromStore(t *testing.T) {
 	g := NewGuide(GuideOptions{Share: 0.5})
 	now := clock.Now()
-	for try := range fetchTries {
-		// What is small and comes meanwhile begins nothing anew.
-		g.Observe(Report{News: &News{Next: 6 + int64(try), Large: 6, HeardAt: now, At: now, From: "a"}, ReadAt: now, ReadSince: now})
+	for try := range maxFetchAttempts {
+		// A small change that arrives meanwhile must not restart the attempts.
+		g.Observe(Observation{Announcement: &Announcement{Next: 6 + int64(try), Large: 6, ReceivedAt: now, AskedAt: now, From: "a"}, ReadAt: now, ReadableSince: now})
 		if way, _, _ := g.decide(clock.Now(), 5); way != follow.WayFetch {
 			t.Errorf("way %d", way)
 		}
-		g.Note(follow.WayFetch, errors.New("nobody"))
+		g.Note(follow.WayFetch, errors.New("not served"))
 	}
 	way, wait, _ := g.decide(clock.Now(), 5)
-	if way != follow.WayStoreNow || wait <= 0 || wait > fallbackSpread/2 {
+	if way != follow.WayStoreNow || wait <= 0 || wait > fallbackJitter/2 {
 		t.Errorf("way %d after %v", way, wait)
 	}
 }
 
-// A node that the store does not tell of the coordinator goes on alone where the store answers it, and leaves
-// it alone for a while where it does not.
-func TestANodeThatTriesAlone(t *testing.T) {
-	lost := Report{News: &News{Next: 5, HeardAt: clock.Now()}, ReadAt: clock.Now().Add(-lostFor)}
+// A node that cannot read announcements continues on its own if the store answers its reads of the topic,
+// and backs off if it does not.
+func TestReadingAlone(t *testing.T) {
+	unreadable := Observation{Announcement: &Announcement{Next: 5, ReceivedAt: clock.Now()}, ReadAt: clock.Now().Add(-unreadableTimeout)}
 	g := NewGuide(GuideOptions{})
-	g.Observe(lost)
+	g.Observe(unreadable)
 	g.Note(follow.WayStoreTry, errors.New("refused"))
 	if way, _, _ := g.decide(clock.Now(), 5); way != follow.WayOthers {
 		t.Errorf("after a failure: way %d", way)
 	}
-	if way, _, _ := g.decide(clock.Now().Add(aloneRetry), 5); way != follow.WayStoreTry {
+	if way, _, _ := g.decide(clock.Now().Add(aloneRetryDelay), 5); way != follow.WayStoreTry {
 		t.Errorf("long after a failure: way %d", way)
 	}
 	g.Note(follow.WayStoreTry, nil)
@@ -116,18 +118,19 @@
 	}
 }
 
-// A node's knowledge is as young as the coordinator's, as it was told, and only where it knows as much.
-func TestANodeThatKnowsLessIsNotUpToDate(t *testing.T) {
+// A node's knowledge is as recent as the coordinator's at the time of the announcement, and only if it has
+// read as far.
+func TestNodeBehindAnnouncementIsNotUpToDate(t *testing.T) {
 	var upTo []time.Time
-	g := NewGuide(GuideOptions{UpToDate: func(at time.Time) { upTo = append(upTo, at) }})
+	g := NewGuide(GuideOptions{OnUpToDate: func(at time.Time) { upTo = append(upTo, at) }})
 	now := clock.Now()
-	g.Observe(Report{News: &News{Next: 6, HeardAt: now, At: now.Add(-time.Second)}, ReadAt: now, ReadSince: now})
+	g.Observe(Observation{Announcement: &Announcement{Next: 6, ReceivedAt: now, AskedAt: now.Add(-time.Second)}, ReadAt: now, ReadableSince: now})
 	g.decide(now, 5)
 	if len(upTo) > 0 {
-		t.Error("up to date without the change")
+		t.Error("reported as up to date without the change")
 	}
 	g.decide(now, 6)
 	if len(upTo) != 1 || !upTo[0].Equal(now.Add(-time.Second)) {
-		t.Errorf("up to date as of %v", upTo)
+		t.Errorf("reported as up to date as of %v", upTo)
 	}
 }
--- a/internal/fanout/source.go
+++ b/internal/fanout/source.go
@@ -13,66 +13,68 @@
 )
 
 const (
-	// fanOut is to how many nodes a node gives one change: 1,000 nodes are four steps away at the most, and
-	// each sends eight times the change.
-	fanOut = 8
-	// giveWait is how long a node that is asked for a change waits until it has it: it may have been asked for it
-	// itself a moment ago.
-	giveWait = 800 * time.Millisecond
-	// LargeBytes is the size of a record that nodes have from each other: 1,000 nodes that read a smaller
-	// one keep a store that reads 80 MB a second busy for less than half a second.
+	// fanOutDegree is the number of nodes that one node serves a change to: 1,000 nodes are at most four levels
+	// deep, and each node sends the change eight times.
+	fanOutDegree = 8
+	// serveTimeout is how long a node that is asked for a change waits for it to arrive: the node may itself
+	// have requested it a moment ago.
+	serveTimeout = 800 * time.Millisecond
+	// LargeBytes is the size at which nodes fetch a record from each other: 1,000 nodes reading a smaller one
+	// keep a store that delivers 80 MB/s busy for less than half a second.
 	LargeBytes = 32 << 10
 )
 
-// Question asks a node for what it knows of the topic.
+// Question asks a node for its knowledge of the topic.
 type Question struct {
-	// From is the offset after what the asker knows; below 0 it knows nothing.
+	// From is the offset after what the asker knows; negative if it knows nothing.
 	From int64
-	// Next is the offset up to which it wants to know at the least.
+	// Next is the offset up to which the asker wants to know at least.
 	Next int64
-	// Asker is where the asker answers the same question.
+	// Asker is the address at which the asker answers the same question.
 	Asker string
-	// Gone is where a node did not answer to which the asker was sent; empty for none.
+	// Gone is the address of a node that the asker was redirected to and that did not answer; empty for none.
 	Gone string
 }
 
-// Answer holds what a node knows, or names another node to ask.
+// Answer holds a node's knowledge, or redirects to another node.
 type Answer struct {
 	Records []store.Record
-	// Whole says that the records are the newest of each key, not what came after From.
+	// Whole is set if the records are the newest of each key instead of the changes after From.
 	Whole bool
-	// Next is the offset after what the node knows, which may be less than was asked for; below 0 it knows nothing.
+	// Next is the offset after what the node knows, which may be less than requested; negative if it knows
+	// nothing.
 	Next int64
-	// Age is how long before this answer the store had been asked.
+	// Age is the time from the read of the store to this answer.
 	Age time.Duration
-	// Elsewhere is where a node answers that was given the change, or is about to be; empty for none.
+	// Elsewhere is the address of a node that has been served the change, or is about to be; empty for none.
 	Elsewhere string
 }
 
-// Source holds what a node knows of the topic and gives it to others. It may be used by several goroutines.
+// Source holds a node's knowledge of the topic and serves it to others. It is safe for concurrent use.
 type Source struct {
 	mutex sync.Mutex
-	// records are the newest of each key, with those that say that a key was removed after base.
+	// records holds the newest record of each key, including tombstones after base.
 	records map[string]store.Record
-	// base is the offset from which on all changes are held, next the one after them; below 0 nothing is.
+	// base is the offset from which all changes are held, next the offset after them; negative while nothing is
+	// held.
 	base, next int64
-	// askedAt is when the store was asked for that.
+	// askedAt is when the store was asked for that state.
 	askedAt time.Time
 	// large is the offset after the last large record.
 	large int64
-	// grown is closed when next grows.
-	grown chan struct{}
-	// given are the nodes that are given what goes up to givenNext.
-	given     []string
-	givenNext int64
+	// advanced is closed when next advances.
+	advanced chan struct{}
+	// recipients are the nodes that are served the changes up to recipientsNext.
+	recipients     []string
+	recipientsNext int64
 }
 
-// NewSource returns a source that knows nothing.
-func NewSource() *Source { return &Source{next: -1, base: -1, grown: make(chan struct{})} }
+// NewSource returns an empty source.
+func NewSource() *Source { return &Source{next: -1, base: -1, advanced: make(chan struct{})} }
 
-// Take takes records up to an offset: those that came since what is known, or, if they are the whole, the newest of
-// each key.
-func (s *Source) Take(records []store.Record, whole bool, next int64) {
+// Update adds records up to an offset: those since the known end, or, if whole is set, the newest of each
+// key.
+func (s *Source) Update(records []store.Record, whole bool, next int64) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if whole {
@@ -80,7 +82,7 @@
 		s.base, s.large = next, 0
 	}
 	if s.records == nil {
-		return // what came before is not known
+		return // the preceding records are unknown
 	}
 	for _, record := range records {
 		s.records[record.Key] = record
@@ -92,12 +94,12 @@
 		return
 	}
 	s.next = next
-	close(s.grown)
-	s.grown = make(chan struct{})
+	close(s.advanced)
+	s.advanced = make(chan struct{})
 }
 
-// NoteAsked notes that all that is held was the newest when the store was asked.
-func (s *Source) NoteAsked(at time.Time) {
+// MarkUpToDate records that the held state was the newest when the store was asked.
+func (s *Source) MarkUpToDate(at time.Time) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if at.After(s.askedAt) {
@@ -105,71 +107,71 @@
 	}
 }
 
-// Known is how far a source knows the topic.
-type Known struct {
-	// Next is the offset after what is known, Large the one after the last large record.
+// SourceState describes how far a source knows the topic.
+type SourceState struct {
+	// Next is the offset after what is known, Large the offset after the last large record.
 	Next, Large int64
 	// AskedAt is when the store was asked, by package clock.
 	AskedAt time.Time
 }
 
-// Known returns how far the topic is known; ok is false where nothing is.
-func (s *Source) Known() (known Known, ok bool) {
+// State returns how far the topic is known; ok is false if nothing is known.
+func (s *Source) State() (state SourceState, ok bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return Known{Next: s.next, Large: s.large, AskedAt: s.askedAt}, s.records != nil && !s.askedAt.IsZero()
+	return SourceState{Next: s.next, Large: s.large, AskedAt: s.askedAt}, s.records != nil && !s.askedAt.IsZero()
 }
 
-// Give answers another node. It waits a while for what is not here yet.
-func (s *Source) Give(ctx context.Context, question Question) Answer {
-	if elsewhere := s.assign(question); elsewhere != "" {
+// Serve answers another node. It waits up to serveTimeout for records that have not arrived yet.
+func (s *Source) Serve(ctx context.Context, question Question) Answer {
+	if elsewhere := s.redirect(question); elsewhere != "" {
 		return Answer{Elsewhere: elsewhere}
 	}
-	ctx, cancel := context.WithTimeout(ctx, giveWait)
+	ctx, cancel := context.WithTimeout(ctx, serveTimeout)
 	defer cancel()
 	for {
-		answer, grown := s.answer(question)
-		if grown == nil {
+		answer, advanced := s.answer(question)
+		if advanced == nil {
 			return answer
 		}
 		select {
 		case <-ctx.Done():
 			return answer
-		case <-grown:
+		case <-advanced:
 		}
 	}
 }
 
-// assign returns the node to which an asker is sent, empty where this one gives it the change. An asker is sent the same
-// way each time, so that no two nodes wait for each other.
-func (s *Source) assign(question Question) (elsewhere string) {
+// redirect returns the node to which an asker is redirected, or an empty string if this node serves it. An
+// asker is always redirected to the same node, so that no two nodes wait for each other.
+func (s *Source) redirect(question Question) (elsewhere string) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if question.Next > s.givenNext {
-		s.given, s.givenNext = nil, question.Next
+	if question.Next > s.recipientsNext {
+		s.recipients, s.recipientsNext = nil, question.Next
 	}
-	s.given = slices.DeleteFunc(s.given, func(node string) bool { return node == question.Gone })
-	if slices.Contains(s.given, question.Asker) {
+	s.recipients = slices.DeleteFunc(s.recipients, func(node string) bool { return node == question.Gone })
+	if slices.Contains(s.recipients, question.Asker) {
 		return ""
 	}
-	if len(s.given) < fanOut {
-		s.given = append(s.given, question.Asker)
+	if len(s.recipients) < fanOutDegree {
+		s.recipients = append(s.recipients, question.Asker)
 		return ""
 	}
-	return slices.MaxFunc(s.given, func(a, b string) int {
+	return slices.MaxFunc(s.recipients, func(a, b string) int {
 		return cmp.Compare(placement.Score(a, question.Asker), placement.Score(b, question.Asker))
 	})
 }
 
-// answer returns what is known, or a channel that is closed once more is.
+// answer returns what is known, and a channel that is closed once more is known if that does not suffice.
 func (s *Source) answer(question Question) (Answer, <-chan struct{}) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.records == nil {
-		return Answer{Next: -1}, s.grown
+		return Answer{Next: -1}, s.advanced
 	}
 	if s.next < question.Next {
-		return Answer{Next: s.next, Age: clock.Since(s.askedAt)}, s.grown
+		return Answer{Next: s.next, Age: clock.Since(s.askedAt)}, s.advanced
 	}
 	answer := Answer{Next: s.next, Age: clock.Since(s.askedAt), Whole: question.From < s.base}
 	for _, record := range s.records {
--- a/internal/fanout/source_test.go
+++ b/internal/fanout/source_test.go
@@ -28,69 +28,69 @@
 	return all
 }
 
-// What a node gives is what the asker lacks: what came since, or all of it.
-func TestASourceGivesWhatTheAskerLacks(t *testing.T) {
+// A node serves what the asker lacks: the changes since, or the whole state.
+func TestSourceServesWhatAskerLacks(t *testing.T) {
 	s := NewSource()
-	s.Take([]store.Record{record(3, "a", "1"), record(4, "b", "2")}, true, 5)
-	s.Take([]store.Record{record(5, "a", "3")}, false, 6)
-	s.Take([]store.Record{record(6, "b", "")}, false, 7)
-	s.NoteAsked(clock.Now())
+	s.Update([]store.Record{record(3, "a", "1"), record(4, "b", "2")}, true, 5)
+	s.Update([]store.Record{record(5, "a", "3")}, false, 6)
+	s.Update([]store.Record{record(6, "b", "")}, false, 7)
+	s.MarkUpToDate(clock.Now())
 	cases := []struct {
 		name  string
 		from  int64
 		want  []string
 		whole bool
 	}{
-		{"who knows nothing", -1, []string{"5 a=3"}, true},
-		{"who knows less than this node began with", 4, []string{"5 a=3"}, true},
-		{"who knows as much", 5, []string{"5 a=3", "6 b="}, false},
-		{"who lacks one", 6, []string{"6 b="}, false},
-		{"who lacks none", 7, nil, false},
+		{"knows nothing", -1, []string{"5 a=3"}, true},
+		{"knows less than the node started with", 4, []string{"5 a=3"}, true},
+		{"knows as much as the node started with", 5, []string{"5 a=3", "6 b="}, false},
+		{"lacks one", 6, []string{"6 b="}, false},
+		{"lacks none", 7, nil, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			answer := s.Give(t.Context(), Question{From: c.from, Next: 7, Asker: c.name})
+			answer := s.Serve(t.Context(), Question{From: c.from, Next: 7, Asker: c.name})
 			if diff := cmp.Diff(c.want, texts(answer.Records)); diff != "" || answer.Whole != c.whole || answer.Next != 7 {
-				t.Errorf("whole %v up to %d: %s", answer.Whole, answer.Next, diff)
+				t.Errorf("whole: %v, next %d: %s", answer.Whole, answer.Next, diff)
 			}
 		})
 	}
 }
 
-// A node that was asked for a change a moment before it has it waits, and one that never has it says so.
-func TestASourceWaitsForWhatItWillHave(t *testing.T) {
+// A node that is asked for a change just before it has it waits; one that never gets it says so.
+func TestSourceWaitsForPendingChange(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := NewSource()
-		s.Take(nil, true, 1)
+		s.Update(nil, true, 1)
 		go func() {
-			time.Sleep(giveWait / 2)
-			s.Take([]store.Record{record(1, "a", "1")}, false, 2)
+			time.Sleep(serveTimeout / 2)
+			s.Update([]store.Record{record(1, "a", "1")}, false, 2)
 		}()
-		if answer := s.Give(t.Context(), Question{From: 1, Next: 2, Asker: "x"}); answer.Next != 2 || len(answer.Records) != 1 {
+		if answer := s.Serve(t.Context(), Question{From: 1, Next: 2, Asker: "x"}); answer.Next != 2 || len(answer.Records) != 1 {
 			t.Errorf("%+v", answer)
 		}
-		if answer := s.Give(t.Context(), Question{From: 2, Next: 9, Asker: "x"}); answer.Next != 2 || len(answer.Records) != 0 || answer.Elsewhere != "" {
+		if answer := s.Serve(t.Context(), Question{From: 2, Next: 9, Asker: "x"}); answer.Next != 2 || len(answer.Records) != 0 || answer.Elsewhere != "" {
 			t.Errorf("%+v", answer)
 		}
 	})
 }
 
-// An answer is as old as the node's own knowledge, whoever passed it on.
-func TestAnAnswerBearsTheAgeOfWhatIsKnown(t *testing.T) {
+// An answer has the age of the node's own knowledge, whoever passed it on.
+func TestAnswerHasAgeOfKnowledge(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := NewSource()
-		s.Take(nil, true, 1)
-		s.NoteAsked(clock.Now())
+		s.Update(nil, true, 1)
+		s.MarkUpToDate(clock.Now())
 		time.Sleep(3 * time.Second)
-		s.NoteAsked(clock.Now().Add(-2 * time.Second))
-		s.NoteAsked(clock.Now().Add(-time.Minute))
-		if answer := s.Give(t.Context(), Question{From: 1, Next: 1, Asker: "x"}); answer.Age != 2*time.Second {
+		s.MarkUpToDate(clock.Now().Add(-2 * time.Second))
+		s.MarkUpToDate(clock.Now().Add(-time.Minute))
+		if answer := s.Serve(t.Context(), Question{From: 1, Next: 1, Asker: "x"}); answer.Age != 2*time.Second {
 			t.Errorf("age %v", answer.Age)
 		}
 	})
 }
 
-// fleet is nodes that have a change from each other.
+// fleet is a set of nodes that fetch a change from each other.
 type fleet struct {
 	mutex   sync.Mutex
 	sources []*Source
@@ -112,22 +112,22 @@
 	if gone {
 		return Answer{}, errGone
 	}
-	return f.sources[number].Give(ctx, question), nil
+	return f.sources[number].Serve(ctx, question), nil
 }
 
-// A change reaches all nodes though each gives it to a few alone.
-func TestAChangeReachesAllNodes(t *testing.T) {
+// A change reaches all nodes although each node serves it to only a few.
+func TestChangeReachesAllNodes(t *testing.T) {
 	for _, nodes := range []int{2, 10, 1000, 3000} {
 		t.Run(fmt.Sprint(nodes, " nodes"), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				f := &fleet{calls: make([]int, nodes), gone: make(map[int]bool)}
-				given := make([]int, nodes)
+				served := make([]int, nodes)
 				for range nodes {
 					s := NewSource()
-					s.Take(nil, true, 1)
+					s.Update(nil, true, 1)
 					f.sources = append(f.sources, s)
 				}
-				f.sources[0].Take([]store.Record{record(1, "a", "large")}, false, 2)
+				f.sources[0].Update([]store.Record{record(1, "a", "large")}, false, 2)
 				var askers sync.WaitGroup
 				for number := 1; number < nodes; number++ {
 					askers.Go(func() {
@@ -136,14 +136,14 @@
 							t.Errorf("node %d: %v", number, err)
 							return
 						}
-						f.sources[number].Take(answer.Records, answer.Whole, answer.Next)
+						f.sources[number].Update(answer.Records, answer.Whole, answer.Next)
 					})
 				}
 				askers.Wait()
 				for number, s := range f.sources {
-					given[number] = len(s.given)
-					if s.next != 2 || given[number] > fanOut {
-						t.Errorf("node %d knows up to %d and gave to %d", number, s.next, given[number])
+					served[number] = len(s.recipients)
+					if s.next != 2 || served[number] > fanOutDegree {
+						t.Errorf("node %d knows up to %d and served %d nodes", number, s.next, served[number])
 					}
 				}
 			})
@@ -151,84 +151,85 @@
 	}
 }
 
-// A node that the store turns away learns of what others know, and that nothing came only from one that would know.
-func TestPolling(t *testing.T) {
+// A node that the store rejects learns changes from other nodes, and learns that there are none only from a
+// node with recent knowledge.
+func TestPoll(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &fleet{calls: make([]int, 3), gone: map[int]bool{0: true}}
 		for range 3 {
 			f.sources = append(f.sources, NewSource())
 		}
-		old, young := f.sources[1], f.sources[2]
-		old.Take([]store.Record{record(1, "a", "1")}, true, 2)
-		old.NoteAsked(clock.Now())
+		stale, fresh := f.sources[1], f.sources[2]
+		stale.Update([]store.Record{record(1, "a", "1")}, true, 2)
+		stale.MarkUpToDate(clock.Now())
 		time.Sleep(time.Minute)
-		young.Take([]store.Record{record(1, "a", "1")}, true, 2)
-		young.NoteAsked(clock.Now())
+		fresh.Update([]store.Record{record(1, "a", "1")}, true, 2)
+		fresh.MarkUpToDate(clock.Now())
 		addresses := []string{"0", "1", "2"}
-		if answer, err := Poll(t.Context(), f.call, addresses, 2, "x"); err != nil || answer.Next != 2 || answer.Age > oldestTold {
-			t.Errorf("nothing came: %+v, %v", answer, err)
+		if answer, err := Poll(t.Context(), f.call, addresses, 2, "x"); err != nil || answer.Next != 2 || answer.Age > maxAnnouncedAge {
+			t.Errorf("no change: %+v, %v", answer, err)
 		}
-		if answer, err := Poll(t.Context(), f.call, addresses[:2], 2, "x"); !errors.Is(err, ErrOld) {
-			t.Errorf("nobody who would know: %+v", answer)
+		if answer, err := Poll(t.Context(), f.call, addresses[:2], 2, "x"); !errors.Is(err, ErrStale) {
+			t.Errorf("no node with recent knowledge: %+v", answer)
 		}
-		young.Take([]store.Record{record(2, "a", "2")}, false, 3)
+		fresh.Update([]store.Record{record(2, "a", "2")}, false, 3)
 		if answer, err := Poll(t.Context(), f.call, addresses, 2, "x"); err != nil || answer.Next != 3 || len(answer.Records) != 1 {
-			t.Errorf("something came: %+v, %v", answer, err)
+			t.Errorf("one change: %+v, %v", answer, err)
 		}
 		if answer, err := Poll(t.Context(), f.call, addresses, -1, "x"); err != nil || !answer.Whole {
-			t.Errorf("to one that knows nothing: %+v, %v", answer, err)
+			t.Errorf("an asker that knows nothing: %+v, %v", answer, err)
 		}
 	})
 }
 
-// A node that is gone holds nobody up: who was sent to it is given the change by the node that sent it there.
-func TestANodeThatIsGoneDoesNotHoldAChangeUp(t *testing.T) {
+// A node that is gone delays nobody: a node redirected to it is served by the one that redirected it.
+func TestGoneNodeDoesNotDelayChange(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &fleet{calls: make([]int, 100), gone: map[int]bool{1: true, 2: true, 3: true}}
 		for range 100 {
 			f.sources = append(f.sources, NewSource())
 		}
-		f.sources[0].Take([]store.Record{record(1, "a", "large")}, true, 2)
-		for number := 1; number <= fanOut; number++ {
-			answer := f.sources[0].Give(t.Context(), Question{From: -1, Next: 2, Asker: strconv.Itoa(number)})
-			f.sources[number].Take(answer.Records, answer.Whole, answer.Next)
+		f.sources[0].Update([]store.Record{record(1, "a", "large")}, true, 2)
+		for number := 1; number <= fanOutDegree; number++ {
+			answer := f.sources[0].Serve(t.Context(), Question{From: -1, Next: 2, Asker: strconv.Itoa(number)})
+			f.sources[number].Update(answer.Records, answer.Whole, answer.Next)
 		}
-		for number := fanOut + 1; number < 100; number++ {
+		for number := fanOutDegree + 1; number < 100; number++ {
 			answer, err := Fetch(t.Context(), f.call, "0", Question{From: -1, Next: 2, Asker: strconv.Itoa(number)})
 			if err != nil || len(answer.Records) != 1 {
 				t.Errorf("node %d: %+v, %v", number, answer, err)
 			}
-			f.sources[number].Take(answer.Records, answer.Whole, answer.Next)
+			f.sources[number].Update(answer.Records, answer.Whole, answer.Next)
 		}
 	})
 }
 
-// Nodes that ask again and again for what is not there yet all have it soon after it is.
-func TestAChangeReachesNodesThatPolledForIt(t *testing.T) {
+// Nodes that poll for a change before it exists all get it soon after it does.
+func TestChangeReachesPollingNodes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const nodes = 400
 		f := &fleet{calls: make([]int, nodes), gone: make(map[int]bool)}
 		for range nodes {
 			s := NewSource()
-			s.Take(nil, true, 1)
+			s.Update(nil, true, 1)
 			f.sources = append(f.sources, s)
 		}
 		var polling sync.WaitGroup
 		for number := 1; number < nodes; number++ {
 			polling.Go(func() {
-				for round := 0; f.sources[number].knows() < 2; round++ {
+				for round := 0; f.sources[number].nextOffset() < 2; round++ {
 					time.Sleep(time.Duration(number*7+round*13) % 400 * time.Millisecond)
-					f.sources[0].NoteAsked(clock.Now())
+					f.sources[0].MarkUpToDate(clock.Now())
 					answer, err := Poll(t.Context(), f.call, []string{"0"}, 1, strconv.Itoa(number))
 					if err == nil {
-						f.sources[number].Take(answer.Records, answer.Whole, answer.Next)
+						f.sources[number].Update(answer.Records, answer.Whole, answer.Next)
 					}
 				}
 			})
 		}
 		time.Sleep(10 * time.Second)
 		put := time.Now()
-		f.sources[0].Take([]store.Record{record(1, "a", "large")}, false, 2)
+		f.sources[0].Update([]store.Record{record(1, "a", "large")}, false, 2)
 		polling.Wait()
 		if took := time.Since(put); took > 2*time.Second {
 			t.Errorf("known to all after %v", took)
@@ -236,7 +237,7 @@
 	})
 }
 
-func (s *Source) knows() int64 {
+func (s *Source) nextOffset() int64 {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.next
--- a/internal/frontend/fleet_test.go
+++ b/internal/frontend/fleet_test.go
@@ -303,33 +303,33 @@
 // fanOut has a node follow the topic as those of a large fleet do.
 func (f *fleetOfNodes) fanOut(node *fleetNode, name string, share float64, following *follow.KeyedOptions) {
 	node.source = fanout.NewSource()
-	node.guide = fanout.NewGuide(fanout.GuideOptions{Share: share, UpToDate: node.source.NoteAsked})
-	following.Guide, following.Took = node.guide, node.source.Take
-	following.Read = func(_ int64, _ bool, asked time.Time) { node.source.NoteAsked(asked) }
+	node.guide = fanout.NewGuide(fanout.GuideOptions{Share: share, OnUpToDate: node.source.MarkUpToDate})
+	following.Guide, following.Took = node.guide, node.source.Update
+	following.Read = func(_ int64, _ bool, asked time.Time) { node.source.MarkUpToDate(asked) }
 	readFor := following.Relayed
 	following.Relayed = func(ctx context.Context, from int64) (follow.Relay, error) {
-		if node.guide.Told() {
+		if node.guide.HasAnnouncement() {
 			asked := time.Now()
-			poll, cancel := node.guide.UntilContact(ctx)
+			poll, cancel := node.guide.UntilReadable(ctx)
 			defer cancel()
 			answer, err := fanout.Poll(poll, f.take, node.peers.Known(), from, name)
 			if err == nil {
-				node.source.NoteAsked(asked.Add(-answer.Age))
+				node.source.MarkUpToDate(asked.Add(-answer.Age))
 				return follow.Relay{Records: answer.Records, Whole: answer.Whole, Next: answer.Next}, nil
 			}
-			if errors.Is(err, fanout.ErrOld) || poll.Err() != nil {
+			if errors.Is(err, fanout.ErrStale) || poll.Err() != nil {
 				return follow.Relay{}, err
 			}
 		}
 		return readFor(ctx, from)
 	}
 	following.Fetch = func(ctx context.Context, from int64) (follow.Relay, error) {
-		asked, news := time.Now(), node.guide.News()
-		answer, err := fanout.Fetch(ctx, f.take, news.From, fanout.Question{From: from, Next: news.Large, Asker: name})
+		asked, announcement := time.Now(), node.guide.Announcement()
+		answer, err := fanout.Fetch(ctx, f.take, announcement.From, fanout.Question{From: from, Next: announcement.Large, Asker: name})
 		if err != nil {
 			return follow.Relay{}, err
 		}
-		node.source.NoteAsked(asked.Add(-answer.Age))
+		node.source.MarkUpToDate(asked.Add(-answer.Age))
 		return follow.Relay{Records: answer.Records, Whole: answer.Whole, Next: answer.Next}, nil
 	}
 }
@@ -345,7 +345,7 @@
 	if giver.isStopped() {
 		return fanout.Answer{}, errNoAddress
 	}
-	answer := giver.source.Give(ctx, question)
+	answer := giver.source.Serve(ctx, question)
 	if !pause.For(ctx, giver.link.send(sizeOf(answer.Records))) {
 		return fanout.Answer{}, ctx.Err()
 	}
--- a/internal/frontend/operatorfollow.go
+++ b/internal/frontend/operatorfollow.go
@@ -22,14 +22,14 @@
 	return follow.KeyedOptions{
 		Log: log, Topic: store.TopicOperator, Pace: operatorPace, Wait: n.operatorHold(), Large: true, Logger: n.options.Logger.Named("operator"),
 		Replace: n.replaceOperator, Change: n.handleOperator, Read: n.noteOperatorRead, Relayed: n.readRelayed,
-		Guide: n.operatorGuide, Fetch: n.fetchOperator, Took: n.operatorSource.Take,
+		Guide: n.operatorGuide, Fetch: n.fetchOperator, Took: n.operatorSource.Update,
 	}
 }
 
 func (n *Node) newOperatorGuide() *fanout.Guide {
 	return fanout.NewGuide(fanout.GuideOptions{
-		Share:    float64(xxhash.Sum64String(n.process())>>11) / (1 << 53),
-		UpToDate: n.noteOperatorAge,
+		Share:      float64(xxhash.Sum64String(n.process())>>11) / (1 << 53),
+		OnUpToDate: n.noteOperatorAge,
 	})
 }
 
@@ -43,11 +43,11 @@
 }
 
 func newsOf(source *fanout.Source) *election.Announcement {
-	known, ok := source.Known()
+	state, ok := source.State()
 	if !ok {
 		return nil
 	}
-	return &election.Announcement{Next: known.Next, Large: known.Large, AgeMs: clock.Since(known.AskedAt).Milliseconds() + 1}
+	return &election.Announcement{Next: state.Next, Large: state.Large, AgeMs: clock.Since(state.AskedAt).Milliseconds() + 1}
 }
 
 // guideOperator takes what the coordinator tells.
@@ -56,15 +56,15 @@
 }
 
 // reportOf returns what a node of a fleet that may be large knows of the coordinator's telling.
-func reportOf(state election.State, large bool) fanout.Report {
-	report := fanout.Report{Tells: state.Leading && large, ReadAt: state.ReadAt, ReadSince: state.ReadableSince}
+func reportOf(state election.State, large bool) fanout.Observation {
+	observation := fanout.Observation{Announces: state.Leading && large, ReadAt: state.ReadAt, ReadableSince: state.ReadableSince}
 	if received := state.Announcement; received != nil && !state.Leading {
-		report.News = &fanout.News{
+		observation.Announcement = &fanout.Announcement{
 			Next: received.Next, Large: received.Large, Age: time.Duration(received.AgeMs) * time.Millisecond,
-			At: received.AskedAt, HeardAt: received.ReceivedAt, From: state.Coordinator,
+			AskedAt: received.AskedAt, ReceivedAt: received.ReceivedAt, From: state.Coordinator,
 		}
 	}
-	return report
+	return observation
 }
 
 // noteOperatorRead notes that the store, asked at asked, said what the newest configuration is.
@@ -76,14 +76,14 @@
 // noteOperatorAge notes that this node knows all that there was at a time.
 func (n *Node) noteOperatorAge(at time.Time) {
 	n.configuredAt.advance(at)
-	n.operatorSource.NoteAsked(at)
+	n.operatorSource.MarkUpToDate(at)
 }
 
 // fetchOperator has a change from the coordinator, or from a node to which that gave it.
 func (n *Node) fetchOperator(ctx context.Context, from int64) (follow.Relay, error) {
 	asked := clock.Now()
-	news := n.operatorGuide.News()
-	answer, err := fanout.Fetch(ctx, fanout.CallNode, news.From, fanout.Question{From: from, Next: news.Large, Asker: n.options.Settings.Listen.Internal})
+	announcement := n.operatorGuide.Announcement()
+	answer, err := fanout.Fetch(ctx, fanout.CallNode, announcement.From, fanout.Question{From: from, Next: announcement.Large, Asker: n.options.Settings.Listen.Internal})
 	if err != nil {
 		return follow.Relay{}, err
 	}
@@ -98,15 +98,15 @@
 // take all of its link.
 func (n *Node) readRelayed(ctx context.Context, from int64) (follow.Relay, error) {
 	asked := clock.Now()
-	if n.operatorGuide.Told() {
-		poll, cancel := n.operatorGuide.UntilContact(ctx)
+	if n.operatorGuide.HasAnnouncement() {
+		poll, cancel := n.operatorGuide.UntilReadable(ctx)
 		defer cancel()
 		answer, err := fanout.Poll(poll, fanout.CallNode, n.peers.Known(), from, n.options.Settings.Listen.Internal)
 		if err == nil {
 			n.noteOperatorAge(asked.Add(-answer.Age))
 			return follow.Relay{Records: answer.Records, Whole: answer.Whole, Next: answer.Next}, nil
 		}
-		if errors.Is(err, fanout.ErrOld) || poll.Err() != nil {
+		if errors.Is(err, fanout.ErrStale) || poll.Err() != nil {
 			return follow.Relay{}, err
 		}
 		n.logger.Debug("no node gives what operators put", zap.Error(err))
--- a/internal/frontend/operatorfollow_test.go
+++ b/internal/frontend/operatorfollow_test.go
@@ -34,8 +34,8 @@
 			n := &Node{options: Options{Settings: &Settings{}}, servers: serverlist.New(serverlist.Options{Directory: list}), operatorSource: fanout.NewSource()}
 			n.options.Settings.Access.FailClosed = c.failClosed
 			if c.knows {
-				n.operatorSource.Take([]store.Record{{Offset: 6, Key: "config", Value: make([]byte, fanout.LargeBytes)}}, true, 7)
-				n.operatorSource.NoteAsked(clock.Now())
+				n.operatorSource.Update([]store.Record{{Offset: 6, Key: "config", Value: make([]byte, fanout.LargeBytes)}}, true, 7)
+				n.operatorSource.MarkUpToDate(clock.Now())
 			}
 			news := n.operatorNews()
 			if (news != nil) != c.tells {
--- a/internal/frontend/product.go
+++ b/internal/frontend/product.go
@@ -74,7 +74,7 @@
 func (n *Node) storeSilentFor() time.Duration {
 	now := clock.Now()
 	asked := n.operatorReadAt.age(now)
-	if !n.operatorGuide.Told() {
+	if !n.operatorGuide.HasAnnouncement() {
 		return asked
 	}
 	return min(asked, n.storeAnsweredAt.age(now))
