--- a/internal/frontend/jobreads_builds_test.go
+++ b/internal/frontend/jobreads_builds_test.go
@@ -81,7 +81,7 @@
 		t.Run("this build asks a coordinator of the earlier one, tenant "+name.Tenant, func(t *testing.T) {
 			for what, coordinator := range map[string]*earlierCoordinator{"that follows the job": {job: name.ID}, "that does not know it": {job: "other"}} {
 				node := newReaderNode(t, memory)
-				node.observeCoordinator(false, nodecalltest.Serve(t, nodecalltest.Named("Jobs", coordinator)))
+				node.observeCoordinator(false, nodecalltest.Serve(t, nodecalltest.WithService("Jobs", coordinator)))
 				if _, results, verdict := node.results(ctx, name, 0, 0); verdict != VerdictDone || len(results) != 1 {
 					t.Errorf("%s: %v, %d results", what, verdict, len(results))
 				}
--- a/internal/nodecall/nodecall.go
+++ b/internal/nodecall/nodecall.go
@@ -1,6 +1,5 @@
-// Package nodecall carries the calls that nodes make to each other: net/rpc, whose messages
-// are gob. A connection serves one caller for a few calls and is closed then, since of
-// hundreds of nodes each rarely calls the same one twice.
+// Package nodecall carries calls between nodes by net/rpc, which encodes messages with gob. Each call uses
+// its own short-lived connection: among hundreds of nodes, a node rarely calls the same one twice.
 package nodecall
 
 import (
@@ -13,9 +12,9 @@
 	"github.com/rotisserie/eris"
 )
 
-// connectionLimit is how long a connection is served, above the longest call: what a caller
-// that is gone leaves open ends with it.
-const connectionLimit = 5 * time.Second
+// connectionTimeout is how long a connection is served. It exceeds the longest call; connections left open by
+// callers that are gone are closed after it.
+const connectionTimeout = 5 * time.Second
 
 // Serve answers calls until the listener is closed.
 func Serve(listener net.Listener, server *rpc.Server) error {
@@ -25,9 +24,9 @@
 			return nil
 		}
 		if err != nil {
-			return eris.Wrap(err, "accept a call of another node")
+			return eris.Wrap(err, "accept a call from another node")
 		}
-		if err := conn.SetDeadline(time.Now().Add(connectionLimit)); err != nil {
+		if err := conn.SetDeadline(time.Now().Add(connectionTimeout)); err != nil {
 			conn.Close()
 			continue // the caller has gone
 		}
@@ -35,8 +34,8 @@
 	}
 }
 
-// Call makes one call to the node at an address, IP:PORT, on a connection of its own. A node
-// that takes no connections gives an error that is syscall.ECONNREFUSED.
+// Call makes one call to the node at an address, IP:PORT, on a connection of its own. If the node refuses
+// connections, the error wraps syscall.ECONNREFUSED.
 func Call(ctx context.Context, address, method string, arguments, reply any) error {
 	conn, err := (&net.Dialer{}).DialContext(ctx, "tcp", address)
 	if err != nil {
--- a/internal/nodecall/nodecall_test.go
+++ b/internal/nodecall/nodecall_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// echo answers with what it is asked.
+// echo is a service that returns its argument.
 type echo struct{}
 
 func (echo) Say(text string, answer *string) error {
@@ -31,7 +31,7 @@
 	return listener
 }
 
-func serve(t *testing.T) (listener net.Listener, ended <-chan error) {
+func serve(t *testing.T) (listener net.Listener, serveErr <-chan error) {
 	t.Helper()
 	server := rpc.NewServer()
 	if err := server.RegisterName("Echo", echo{}); err != nil {
@@ -44,7 +44,7 @@
 }
 
 func TestCall(t *testing.T) {
-	listener, ended := serve(t)
+	listener, serveErr := serve(t)
 	address := listener.Addr().String()
 	var answer string
 	if err := Call(context.Background(), address, "Echo.Say", "hello", &answer); err != nil || answer != "hello" {
@@ -52,21 +52,21 @@
 	}
 	err := Call(context.Background(), address, "Echo.Fail", "hello", &answer)
 	if err == nil || !strings.Contains(err.Error(), "Echo.Fail at node "+address) {
-		t.Errorf("an error names neither step nor peer: %v", err)
+		t.Errorf("the error does not name the method and the node: %v", err)
 	}
 	if err := Call(context.Background(), address, "Echo.Unknown", "hello", &answer); err == nil {
-		t.Error("a call that the node does not know has no error")
+		t.Error("a call of an unknown method has no error")
 	}
 	listener.Close()
-	if err := <-ended; err != nil {
-		t.Errorf("the end of the listener: %v", err)
+	if err := <-serveErr; err != nil {
+		t.Errorf("Serve after the listener was closed: %v", err)
 	}
 	if err := Call(context.Background(), address, "Echo.Say", "hello", &answer); !errors.Is(err, syscall.ECONNREFUSED) {
-		t.Errorf("a node that takes no connections: %v", err)
+		t.Errorf("a call to a node that refuses connections: %v", err)
 	}
 }
 
-func TestACallToASilentNodeEndsWithItsContext(t *testing.T) {
+func TestCallToSilentNodeEndsWithContext(t *testing.T) {
 	ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 	defer cancel()
 	var answer string
--- a/internal/nodecall/nodecalltest/nodecalltest.go
+++ b/internal/nodecall/nodecalltest/nodecalltest.go
@@ -1,4 +1,4 @@
-// Package nodecalltest answers calls between nodes in tests.
+// Package nodecalltest serves calls between nodes in tests.
 package nodecalltest
 
 import (
@@ -9,8 +9,8 @@
 	"dalehook/internal/nodecall"
 )
 
-// Serve answers calls at the address returned until the test ends. Each register adds a service; without any the
-// node has none.
+// Serve answers calls at the returned address until the test ends. Each element of registers adds a
+// service; without any the node has none.
 func Serve(t testing.TB, registers ...func(*rpc.Server) error) (address string) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -26,13 +26,13 @@
 	}
 	go func() {
 		if err := nodecall.Serve(listener, server); err != nil {
-			t.Errorf("calls are not answered: %v", err)
+			t.Errorf("serve calls: %v", err)
 		}
 	}()
 	return listener.Addr().String()
 }
 
-// Named registers a service under a name.
-func Named(name string, service any) func(*rpc.Server) error {
+// WithService returns a function that registers a service under a name, for Serve.
+func WithService(name string, service any) func(*rpc.Server) error {
 	return func(server *rpc.Server) error { return server.RegisterName(name, service) }
 }
--- a/internal/storeproxy/builds_test.go
+++ b/internal/storeproxy/builds_test.go
@@ -33,7 +33,7 @@
 // earlierNode is node for such a build.
 func earlierNode(t *testing.T, log store.Log) string {
 	t.Helper()
-	return nodecalltest.Serve(t, nodecalltest.Named("Store", &earlierService{log: log}))
+	return nodecalltest.Serve(t, nodecalltest.WithService("Store", &earlierService{log: log}))
 }
 
 func TestANodeOfAnEarlierBuildIsNotTakenAtItsWordForAnotherTopic(t *testing.T) {
