--- a/internal/frontend/metrics.go
+++ b/internal/frontend/metrics.go
@@ -160,7 +160,7 @@
 func (m *nodeMetrics) observeRequest(outcome gateway.Outcome) {
 	kind := outcome.Kind.String()
 	m.requests.WithLabelValues(kind, strconv.Itoa(outcome.Status), reasonClass(outcome.Reason)).Inc()
-	m.requestSeconds.WithLabelValues(kind).Observe(outcome.Took.Seconds())
+	m.requestSeconds.WithLabelValues(kind).Observe(outcome.Duration.Seconds())
 	m.attempts.Add(float64(outcome.Attempts))
 }
 
--- a/internal/frontend/node.go
+++ b/internal/frontend/node.go
@@ -159,8 +159,8 @@
 	n.quarantine = n.newQuarantine(logger)
 	n.zones = evacuatedZones{directory: n.directory, changed: n.observeServers, logger: n.logger}
 	n.gateway = gateway.NewGateway(gateway.Options{
-		Backend: adapter.Backend(), Directory: n.directory, Node: options.Settings.Node, Zone: options.Settings.Zone, Quarantine: n.quarantine,
-		Logger: logger.Named("gateway"), Observe: n.metrics.observeRequest, Began: n.noteBegan,
+		Backend: adapter.Backend(), Directory: n.directory, Node: options.Settings.Node, Zone: options.Settings.Zone, Tracker: n.quarantine,
+		Logger: logger.Named("gateway"), Observe: n.metrics.observeRequest, OnStarted: n.noteBegan,
 	})
 	adapter.ObserveStore(n.observeStore)
 	n.jobs = joblog.NewLogs(joblog.Options{
@@ -292,7 +292,7 @@
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			n.gateway.Forget()
+			n.gateway.Prune()
 		}
 	}
 }
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -10,85 +10,85 @@
 	"dalehook/internal/directory"
 )
 
-// attempt is the result of one attempt.
-type attempt struct {
-	answer *Answer
-	// head is the part of the body that was read; whole says that it is all.
-	head   []byte
-	whole  bool
-	failed *SendError
-	cancel context.CancelFunc
+// attemptResult is the outcome of one attempt.
+type attemptResult struct {
+	response *Response
+	// prefix is the part of the body that was buffered; complete says that it is the whole body.
+	prefix   []byte
+	complete bool
+	sendErr  *SendError
+	cancel   context.CancelFunc
 }
 
-// attempt sends the request to a server and reads the answer's body up to a limit.
-// An attempt outlives the call by a grace, unless the caller left.
-func (c *call) attempt(ctx context.Context, server *directory.Server, lastEventID string) attempt {
-	began := clock.Now()
-	sendCtx, cancel := graceful(ctx)
-	got := attempt{cancel: cancel}
-	got.answer, got.failed = c.gateway.options.Backend.Send(sendCtx, Attempt{
-		Request: c.request, Server: server, Left: leftUntil(c.deadline), LastEventID: lastEventID,
+// attempt sends the request to a server and buffers the response body up to maxBufferedBytes. The
+// attempt may outlive the call by cancelGrace.
+func (c *call) attempt(ctx context.Context, server *directory.Server, lastEventID string) attemptResult {
+	start := clock.Now()
+	sendCtx, cancel := withCancelGrace(ctx)
+	result := attemptResult{cancel: cancel}
+	result.response, result.sendErr = c.gateway.options.Backend.Send(sendCtx, Attempt{
+		Request: c.request, Server: server, Timeout: remainingUntil(c.deadline), LastEventID: lastEventID,
 	})
-	if got.failed == nil {
-		got.read()
+	if result.sendErr == nil {
+		result.readBody()
 	}
-	c.gateway.observe(began, server, got)
-	var broken error
-	if got.failed != nil && got.failed.Sent && sendCtx.Err() == nil {
-		broken = got.failed
+	c.gateway.recordAttempt(start, server, result)
+	var breakErr error
+	if result.sendErr != nil && result.sendErr.Sent && sendCtx.Err() == nil {
+		breakErr = result.sendErr
 	}
-	c.noteEnd(server, began, broken, false, got.finished())
-	c.endTry()
-	if got.ran() {
-		c.gateway.options.Began(c.request.Caller.Tenant, began)
+	c.reportToTracker(server, start, breakErr, false, result.completed())
+	c.endTrial()
+	if result.mayHaveStarted() {
+		c.gateway.options.OnStarted(c.request.Caller.Tenant, start)
 	}
-	return got
+	return result
 }
 
-// finished says whether a server ran the request to an end and told it. A run that was cut for
-// its time says nothing of what it would have done.
-func (a *attempt) finished() bool {
-	return a.failed == nil && a.whole && !a.answer.NotExecuted &&
-		a.answer.Status != http.StatusServiceUnavailable && a.answer.Status != http.StatusGatewayTimeout
+// completed reports whether a server ran the request to completion and returned the whole response.
+// A 504 does not count: the run was cut by its time limit, so its outcome is unknown.
+func (a *attemptResult) completed() bool {
+	return a.sendErr == nil && a.complete && !a.response.NotExecuted &&
+		a.response.Status != http.StatusServiceUnavailable && a.response.Status != http.StatusGatewayTimeout
 }
 
-// ran says whether a server began to run the request, as far as is known.
-func (a *attempt) ran() bool {
-	if a.failed != nil {
-		return a.failed.Sent
+// mayHaveStarted reports whether a server may have started to execute the request.
+func (a *attemptResult) mayHaveStarted() bool {
+	if a.sendErr != nil {
+		return a.sendErr.Sent
 	}
-	return !a.answer.NotExecuted
+	return !a.response.NotExecuted
 }
 
-// leftUntil returns the time until a deadline, at least a millisecond.
-func leftUntil(deadline time.Time) time.Duration {
+// remainingUntil returns the time until a deadline, at least one millisecond.
+func remainingUntil(deadline time.Time) time.Duration {
 	return max(clock.Until(deadline), time.Millisecond)
 }
 
-// graceful derives a context that ends a grace after its parent was cancelled.
-func graceful(parent context.Context) (context.Context, context.CancelFunc) {
+// withCancelGrace derives a context that is cancelled cancelGrace after its parent.
+func withCancelGrace(parent context.Context) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(context.WithoutCancel(parent))
-	stop := context.AfterFunc(parent, func() { time.AfterFunc(loserGrace, cancel) })
+	stop := context.AfterFunc(parent, func() { time.AfterFunc(cancelGrace, cancel) })
 	return ctx, func() { stop(); cancel() }
 }
 
-func (a *attempt) read() {
-	buffer, err := io.ReadAll(io.LimitReader(a.answer.Body, bufferLimit))
-	a.head = buffer
-	a.whole = len(buffer) < bufferLimit
+func (a *attemptResult) readBody() {
+	buffer, err := io.ReadAll(io.LimitReader(a.response.Body, maxBufferedBytes))
+	a.prefix = buffer
+	a.complete = len(buffer) < maxBufferedBytes
 	if err != nil {
-		a.answer.Body.Close()
-		a.failed = &SendError{Cause: err, Sent: true}
+		a.response.Body.Close()
+		a.sendErr = &SendError{Cause: err, Sent: true}
 		return
 	}
-	if a.whole {
-		a.answer.Body.Close()
+	if a.complete {
+		a.response.Body.Close()
 	}
 }
 
-func (a *attempt) drop() {
-	if a.answer != nil && a.answer.Body != nil {
-		a.answer.Body.Close()
+func (a *attemptResult) close() {
+	if a.response != nil && a.response.Body != nil {
+		a.response.Body.Close()
 	}
 	a.cancel()
 }
--- a/internal/gateway/balancer.go
+++ b/internal/gateway/balancer.go
@@ -10,79 +10,82 @@
 	"dalehook/internal/slowstart"
 )
 
-// Timing of the choice of servers.
+// Parameters of server selection.
 const (
-	// brokenPause is how long a server is avoided after an attempt broke.
-	brokenPause = 700 * time.Millisecond
-	// fullPause is how long a server is avoided after it refused an attempt.
-	fullPause = 30 * time.Millisecond
-	// latencySmoothing is the weight of the newest time of an answer.
+	// failureBackoff is how long a server is avoided after an attempt failed.
+	failureBackoff = 700 * time.Millisecond
+	// overloadBackoff is how long a server is avoided after it rejected an attempt or answered with
+	// a 5xx status.
+	overloadBackoff = 30 * time.Millisecond
+	// latencySmoothing is the weight of the newest sample in the moving average of latencies.
 	latencySmoothing = 0.15
-	// initialLatency stands for the time of a server that has not answered yet.
+	// initialLatency is assumed for a server that has no latency sample yet.
 	initialLatency = 25 * time.Millisecond
-	// otherZoneFactor makes servers of other zones dearer.
-	otherZoneFactor = 1.3
-	// pausedFactor makes avoided servers the last choice.
-	pausedFactor = 1000
-	// warmingFactor makes servers that have just started the choice where no warm one is free: they
-	// bear a rate that all nodes share without knowing of each other.
+	// crossZoneFactor raises the cost of servers in other zones.
+	crossZoneFactor = 1.3
+	// backoffFactor makes servers in backoff the last choice.
+	backoffFactor = 1000
+	// warmingFactor keeps requests off warming servers while a warm one is available: all nodes
+	// share the rate that a warming server sustains, without coordination.
 	warmingFactor = 100
 )
 
-// serverState is what this node has seen of a server.
+// serverState holds this node's observations of a server.
 type serverState struct {
-	inFlight    int
-	latency     time.Duration
-	reported    Load
-	pausedUntil time.Time
-	// sends are those of this node within the last second.
-	sends slowstart.Window
+	inFlight     int
+	latency      time.Duration
+	reportedLoad Load
+	backoffUntil time.Time
+	// recentSends are the requests that this node sent within the last second.
+	recentSends slowstart.Window
 }
 
-// candidates are the servers that a request may go to.
+// candidates are the servers that a request may be sent to.
 type candidates struct {
 	service string
-	// servers are in the order of their ids, or of preference.
+	// servers are ordered by id, or by preference for chooseInOrder.
 	servers []*directory.Server
-	// tried are left out.
+	// tried are excluded.
 	tried map[directory.Incarnation]bool
-	// warmUpRate is what each bears a second while it warms up; 0 for any rate.
+	// warmUpRate is the requests per second that each server sustains while it warms up; 0 means
+	// unlimited.
 	warmUpRate float64
 }
 
-// balancer chooses servers by load and by what was seen of them. It may be used
-// by several goroutines.
+// balancer selects servers by load and observed latency. It is safe for concurrent use.
 type balancer struct {
 	zone    string
 	mutex   sync.Mutex
 	subsets subsets
-	seen    map[directory.Incarnation]*serverState
+	states  map[directory.Incarnation]*serverState
 }
 
-// newBalancer returns the balancer of a node in a zone.
+// newBalancer returns the balancer of a node in the given zone.
 func newBalancer(node, zone string) *balancer {
-	return &balancer{zone: zone, subsets: subsets{node: node, zone: zone}, seen: make(map[directory.Incarnation]*serverState)}
+	return &balancer{zone: zone, subsets: subsets{node: node, zone: zone}, states: make(map[directory.Incarnation]*serverState)}
 }
 
-// choose returns the best server that was not tried, and counts an attempt at it.
+// choose returns the cheapest untried server and records a send to it; nil if there is none.
+// Servers outside the subset are considered if the subset has no warm server that is out of
+// backoff.
 func (b *balancer) choose(now time.Time, from candidates) *directory.Server {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	first, all := b.subsets.of(from.service, from.servers)
-	best := b.cheapest(now, from, first)
-	if best == nil || now.Before(b.state(best.Incarnation()).pausedUntil) || now.Before(best.WarmAt) {
+	preferred, all := b.subsets.preferred(from.service, from.servers)
+	best := b.cheapest(now, from, preferred)
+	if best == nil || now.Before(b.state(best.Incarnation()).backoffUntil) || now.Before(best.WarmAt) {
 		best = b.cheapest(now, from, all)
 	}
-	b.noteSend(now, best)
+	b.recordSend(now, best)
 	return best
 }
 
-// cheapest returns the best of some of the candidates that was not tried; the first of equals.
+// cheapest returns the untried server of lowest cost; on ties, the first.
 func (b *balancer) cheapest(now time.Time, from candidates, servers []*directory.Server) *directory.Server {
 	var best *directory.Server
 	bestCost := 0.0
 	for _, server := range servers {
-		if from.tried[server.Incarnation()] || b.isSaturated(now, server, from.warmUpRate) {
+		if from.tried[server.Incarnation()] || b.isRateLimited(now, server, from.warmUpRate) {
 			continue
 		}
 		cost := b.cost(now, server)
@@ -93,34 +96,34 @@
 	return best
 }
 
-// noteSend counts an attempt at a server; nil for none.
-func (b *balancer) noteSend(now time.Time, server *directory.Server) {
+// recordSend counts an attempt at a server, which may be nil.
+func (b *balancer) recordSend(now time.Time, server *directory.Server) {
 	if server == nil {
 		return
 	}
 	state := b.state(server.Incarnation())
 	state.inFlight++
-	state.sends.Sent(now)
+	state.recentSends.Sent(now)
 }
 
-// isSaturated says whether this node has sent a server as much within the last second as it may be
-// sent while it warms up.
-func (b *balancer) isSaturated(now time.Time, server *directory.Server, warmUpRate float64) bool {
-	state := b.seen[server.Incarnation()]
-	return state != nil && state.sends.Full(now, slowstart.Most(warmUpRate, server.Slots, now.Before(server.WarmAt)))
+// isRateLimited reports whether this node sent a server as many requests within the last second as
+// slowstart.Most allows.
+func (b *balancer) isRateLimited(now time.Time, server *directory.Server, warmUpRate float64) bool {
+	state := b.states[server.Incarnation()]
+	return state != nil && state.recentSends.Full(now, slowstart.Most(warmUpRate, server.Slots, now.Before(server.WarmAt)))
 }
 
-// chooseFirst returns the first server that was not tried and is not avoided, else the first that
-// was not tried, and counts an attempt at it.
-func (b *balancer) chooseFirst(now time.Time, from candidates) *directory.Server {
+// chooseInOrder returns the first untried server that is not in backoff, else the first untried
+// one, and records a send to it.
+func (b *balancer) chooseInOrder(now time.Time, from candidates) *directory.Server {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	var chosen *directory.Server
 	for _, server := range from.servers {
-		if from.tried[server.Incarnation()] || b.isSaturated(now, server, from.warmUpRate) {
+		if from.tried[server.Incarnation()] || b.isRateLimited(now, server, from.warmUpRate) {
 			continue
 		}
-		avoided := now.Before(b.state(server.Incarnation()).pausedUntil)
+		avoided := now.Before(b.state(server.Incarnation()).backoffUntil)
 		if chosen == nil || !avoided {
 			chosen = server
 		}
@@ -128,23 +131,23 @@
 			break
 		}
 	}
-	b.noteSend(now, chosen)
+	b.recordSend(now, chosen)
 	return chosen
 }
 
 func (b *balancer) cost(now time.Time, server *directory.Server) float64 {
-	state := b.seen[server.Incarnation()]
+	state := b.states[server.Incarnation()]
 	if state == nil {
 		state = &serverState{}
 	}
 	slots := float64(max(server.Slots, 1))
-	load := float64(max(state.inFlight, state.reported.Running+state.reported.Waiting) + 1)
+	load := float64(max(state.inFlight, state.reportedLoad.Running+state.reportedLoad.Waiting) + 1)
 	cost := (1 + load/slots) * cmp.Or(state.latency, initialLatency).Seconds()
 	if server.Zone != b.zone {
-		cost *= otherZoneFactor
+		cost *= crossZoneFactor
 	}
-	if now.Before(state.pausedUntil) {
-		cost *= pausedFactor
+	if now.Before(state.backoffUntil) {
+		cost *= backoffFactor
 	}
 	if now.Before(server.WarmAt) {
 		cost *= warmingFactor
@@ -153,41 +156,41 @@
 }
 
 func (b *balancer) state(id directory.Incarnation) *serverState {
-	state := b.seen[id]
+	state := b.states[id]
 	if state == nil {
 		state = &serverState{}
-		b.seen[id] = state
+		b.states[id] = state
 	}
 	return state
 }
 
-// ended counts the end of an attempt; took is 0 when there was no whole answer.
-func (b *balancer) ended(now time.Time, id directory.Incarnation, took time.Duration, load *Load, pause time.Duration) {
+// recordResult records the end of an attempt; latency is 0 if there was no complete response.
+func (b *balancer) recordResult(now time.Time, id directory.Incarnation, latency time.Duration, load *Load, backoff time.Duration) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	state := b.state(id)
 	state.inFlight--
 	if load != nil {
-		state.reported = *load
+		state.reportedLoad = *load
 	}
-	if took > 0 {
-		previous := cmp.Or(state.latency, took)
-		state.latency = previous + time.Duration(latencySmoothing*float64(took-previous))
+	if latency > 0 {
+		previous := cmp.Or(state.latency, latency)
+		state.latency = previous + time.Duration(latencySmoothing*float64(latency-previous))
 	}
-	if pause > 0 {
-		state.pausedUntil = now.Add(pause)
+	if backoff > 0 {
+		state.backoffUntil = now.Add(backoff)
 	}
 }
 
-// forget drops what was seen of servers that are gone.
-func (b *balancer) forget(listed *directory.Snapshot) {
+// prune drops the state of servers that are no longer listed.
+func (b *balancer) prune(listed *directory.Snapshot) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	gone := maps.Clone(b.seen)
+	gone := maps.Clone(b.states)
 	listed.All(func(server *directory.Server) { delete(gone, server.Incarnation()) })
 	for id, state := range gone {
 		if state.inFlight == 0 {
-			delete(b.seen, id)
+			delete(b.states, id)
 		}
 	}
 }
--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -9,43 +9,43 @@
 	"dalehook/internal/routetable"
 )
 
-// Call is a request that the product makes itself. It may be repeated.
+// Call is a request that originates in the product itself. It may run more than once.
 type Call struct {
 	Request *Request
 	Table   *routetable.Table
 	Route   *routetable.Route
-	// Service is the target of the route that the call goes to.
+	// Service is the route target that the call is sent to.
 	Service string
 }
 
-// CallResult is what a call came to.
+// CallResult is the outcome of a call.
 type CallResult struct {
-	// Signature is that of the whole answer of a success; empty when there was none.
+	// Signature is that of a complete successful response; empty if there was none.
 	Signature string
-	// Failures is the number of servers that answered that the request failed.
+	// Failures is the number of servers that answered with status 500.
 	Failures int
 	// Servers holds the ids of the servers tried, in order.
 	Servers []string
-	// Reason says why there was no success.
+	// Reason says why the call did not succeed.
 	Reason string
 }
 
-// Call makes a request by the rules of those of callers: the same choice of servers,
-// hedges and retries, within the deadline of the request alone.
-func (g *Gateway) Call(ctx context.Context, made Call) CallResult {
+// Call sends a request with the same server selection, hedging and retries as requests of callers,
+// but bounded by the request's deadline alone.
+func (g *Gateway) Call(ctx context.Context, spec Call) CallResult {
 	c := &call{
-		gateway: g, request: made.Request, route: made.Route, table: made.Table, service: made.Service,
-		deadline: made.Request.Deadline, tried: make(map[directory.Incarnation]bool), unrun: true, repeatable: true,
+		gateway: g, request: spec.Request, route: spec.Route, table: spec.Table, service: spec.Service,
+		deadline: spec.Request.Deadline, tried: make(map[directory.Incarnation]bool), notExecuted: true, repeatable: true,
 	}
 	ctx, cancel := context.WithTimeout(ctx, clock.Until(c.deadline))
 	defer cancel()
 	result := CallResult{}
-	got, ok := c.await(ctx)
+	final, ok := c.awaitResponse(ctx)
 	if ok {
-		defer got.drop()
-		result.Signature = got.signature()
-		if result.Signature == "" && got.answer.Status < http.StatusInternalServerError {
-			c.reason = "no success: " + http.StatusText(got.answer.Status)
+		defer final.close()
+		result.Signature = final.signature()
+		if result.Signature == "" && final.response.Status < http.StatusInternalServerError {
+			c.reason = "no success: " + http.StatusText(final.response.Status)
 		}
 	}
 	result.Failures, result.Servers = c.failures, c.servers
@@ -55,11 +55,11 @@
 	return result
 }
 
-// signature returns the signature of a whole success, else nothing.
-func (a *attempt) signature() string {
-	success := a.answer.Status >= http.StatusOK && a.answer.Status < http.StatusMultipleChoices
-	if !success || !a.whole {
+// signature returns the signature of a complete successful response, or "".
+func (a *attemptResult) signature() string {
+	success := a.response.Status >= http.StatusOK && a.response.Status < http.StatusMultipleChoices
+	if !success || !a.complete {
 		return ""
 	}
-	return a.answer.Signature
+	return a.response.Signature
 }
--- a/internal/gateway/call_test.go
+++ b/internal/gateway/call_test.go
@@ -15,24 +15,24 @@
 	"dalehook/internal/routetable"
 )
 
-func signed(status int, body string) answerFunc {
-	return func(ctx context.Context, attempt Attempt) (*Answer, *SendError) {
-		answer, failed := whole(status, body)(ctx, attempt)
-		answer.Signature = "signature"
-		return answer, failed
+func respondSigned(status int, body string) responseFunc {
+	return func(ctx context.Context, attempt Attempt) (*Response, *SendError) {
+		response, sendErr := respondWith(status, body)(ctx, attempt)
+		response.Signature = "signature"
+		return response, sendErr
 	}
 }
 
-func signedPart(ctx context.Context, attempt Attempt) (*Answer, *SendError) {
-	answer, failed := cutBody("par")(ctx, attempt)
-	answer.Signature = "signature"
-	return answer, failed
+func respondSignedTruncated(ctx context.Context, attempt Attempt) (*Response, *SendError) {
+	response, sendErr := respondTruncated("par")(ctx, attempt)
+	response.Signature = "signature"
+	return response, sendErr
 }
 
-// callAt makes a call at four servers that answer in turn.
-func callAt(t *testing.T, kind routetable.Kind, answers ...answerFunc) (CallResult, *script) {
+// callServers makes a call with four servers; the responses are used in turn.
+func callServers(t *testing.T, kind routetable.Kind, responses ...responseFunc) (CallResult, *scriptedBackend) {
 	t.Helper()
-	backend := &script{answers: answers}
+	backend := &scriptedBackend{responses: responses}
 	list := directory.NewDirectory()
 	for i := range 4 {
 		put := directory.Server{ID: fmt.Sprint("s", i), Service: "svc", Zone: "z", Slots: 4}
@@ -47,45 +47,45 @@
 	return result, backend
 }
 
-func TestACallCountsOnlyAWholeSignedSuccess(t *testing.T) {
+func TestCallRequiresCompleteSignedSuccess(t *testing.T) {
 	cases := []struct {
 		name      string
-		answers   []answerFunc
+		answers   []responseFunc
 		signature string
 		failures  int
 	}{
-		{"success", []answerFunc{signed(200, "ok")}, "signature", 0},
-		{"lost once", []answerFunc{broken(true), signed(200, "ok")}, "signature", 0},
-		{"cut once", []answerFunc{signedPart, signed(200, "ok")}, "signature", 0},
-		{"refused once", []answerFunc{notExecuted, signed(200, "ok")}, "signature", 0},
-		{"failed once", []answerFunc{signed(500, ""), signed(200, "ok")}, "signature", 1},
-		{"failed at every server", []answerFunc{signed(500, "")}, "", 4},
-		{"unavailable at every server", []answerFunc{signed(503, "")}, "", 0},
-		{"silent once", []answerFunc{silent, signed(200, "ok")}, "signature", 0},
-		{"no success", []answerFunc{signed(404, "")}, "", 0},
-		{"silent", []answerFunc{silent}, "", 0},
+		{"success", []responseFunc{respondSigned(200, "ok")}, "signature", 0},
+		{"lost once", []responseFunc{failWith(true), respondSigned(200, "ok")}, "signature", 0},
+		{"cut once", []responseFunc{respondSignedTruncated, respondSigned(200, "ok")}, "signature", 0},
+		{"refused once", []responseFunc{respondNotExecuted, respondSigned(200, "ok")}, "signature", 0},
+		{"failed once", []responseFunc{respondSigned(500, ""), respondSigned(200, "ok")}, "signature", 1},
+		{"failed at every server", []responseFunc{respondSigned(500, "")}, "", 4},
+		{"unavailable at every server", []responseFunc{respondSigned(503, "")}, "", 0},
+		{"silent once", []responseFunc{hang, respondSigned(200, "ok")}, "signature", 0},
+		{"no success", []responseFunc{respondSigned(404, "")}, "", 0},
+		{"silent", []responseFunc{hang}, "", 0},
 	}
 	for _, c := range cases {
 		for _, kind := range []routetable.Kind{routetable.KindSafe, routetable.KindUnsafe} {
-			result, backend := callAt(t, kind, c.answers...)
+			result, backend := callServers(t, kind, c.answers...)
 			if result.Signature != c.signature || result.Failures != c.failures {
 				t.Errorf("%s, %v: %+v", c.name, kind, result)
 			}
-			if count := backend.count(); count > 4 || count != len(result.Servers) {
+			if count := backend.attemptCount(); count > 4 || count != len(result.Servers) {
 				t.Errorf("%s, %v: %d attempts, servers %v", c.name, kind, count, result.Servers)
 			}
 			for _, attempt := range backend.attempts {
-				if attempt.Left <= 0 || attempt.Left > 400*time.Millisecond {
-					t.Errorf("%s, %v: a server is given %v", c.name, kind, attempt.Left)
+				if attempt.Timeout <= 0 || attempt.Timeout > 400*time.Millisecond {
+					t.Errorf("%s, %v: attempt has timeout %v", c.name, kind, attempt.Timeout)
 				}
 			}
 		}
 	}
 }
 
-// A server that is gone when the call is sent costs nothing, and one that began to leave
-// after the first choice is not chosen any more.
-func TestACallPassesOverServersThatAreGoneOrLeave(t *testing.T) {
+// A refused connection does not use up an attempt, and a server that starts draining after the
+// first choice is not chosen.
+func TestCallSkipsUnreachableAndDrainingServers(t *testing.T) {
 	list := directory.NewDirectory()
 	put := func(id string, draining bool) {
 		server := directory.Server{ID: id, Service: "svc", Zone: "z", Slots: 4, Draining: draining}
@@ -94,14 +94,14 @@
 	for _, id := range []string{"s0", "s1", "s2"} {
 		put(id, false)
 	}
-	backend := &script{answers: []answerFunc{
-		func(ctx context.Context, attempt Attempt) (*Answer, *SendError) {
+	backend := &scriptedBackend{responses: []responseFunc{
+		func(ctx context.Context, attempt Attempt) (*Response, *SendError) {
 			for _, id := range []string{"s0", "s1"} {
 				put(id, id != attempt.Server.ID)
 			}
-			return broken(false)(ctx, attempt)
+			return failWith(false)(ctx, attempt)
 		},
-		signed(200, "ok"),
+		respondSigned(200, "ok"),
 	}}
 	gateway := NewGateway(Options{Backend: backend, Directory: list, Zone: "z", Logger: zap.NewNop()})
 	result := gateway.Call(context.Background(), Call{
@@ -113,11 +113,11 @@
 	}
 }
 
-// Seen: in an incident, 165 harmless calls were refused within 10 ms while a server stood: the other
-// two had crashed, and refused connections to both used up the two attempts of a call.
-// Cause: an attempt that reached no server counted like one that a server may have run.
-func TestAnAttemptThatReachedNoServerIsNone(t *testing.T) {
-	backend := &script{answers: []answerFunc{broken(false), broken(false), broken(false), signed(200, eventOne)}}
+// Two crashed servers of three were still listed, and refused connections to both used up the two
+// attempts of a call: 165 harmless calls were refused within 10 ms although one server was up.
+// Attempts that reach no server must not count.
+func TestUnreachableServersDoNotCountAsAttempts(t *testing.T) {
+	backend := &scriptedBackend{responses: []responseFunc{failWith(false), failWith(false), failWith(false), respondSigned(200, eventOne)}}
 	list := directory.NewDirectory()
 	for i := range 4 {
 		put := directory.Server{ID: fmt.Sprint("s", i), Service: "svc", Zone: "z", Slots: 4}
@@ -132,8 +132,8 @@
 		gateway.Serve(context.Background(), recorder, table, route, &Request{
 			ID: "id", Method: http.MethodPost, Target: "/p", Received: clock.Now(), Deadline: clock.Now().Add(time.Second),
 		})
-		if recorder.Code != http.StatusOK || backend.count() != 4 {
-			t.Errorf("%v: status %d after %d attempts", kind, recorder.Code, backend.count())
+		if recorder.Code != http.StatusOK || backend.attemptCount() != 4 {
+			t.Errorf("%v: status %d after %d attempts", kind, recorder.Code, backend.attemptCount())
 		}
 	}
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -26,26 +26,26 @@
 	Node string
 	// Zone is this node's zone; its servers are preferred.
 	Zone string
-	// Quarantine knows the requests that crash servers; nil for none.
-	Quarantine *crashwatch.Tracker
-	Logger     *zap.Logger
-	// Observe is told of each request that was answered.
+	// Tracker identifies requests that crash servers; nil disables the quarantine.
+	Tracker *crashwatch.Tracker
+	Logger  *zap.Logger
+	// Observe is called with the outcome of each request.
 	Observe func(Outcome)
-	// Began is told of each request that began to run at a server, of which tenant and when.
-	Began func(tenantName string, at time.Time)
+	// OnStarted is called when a server starts to execute a request, with its tenant and the time.
+	OnStarted func(tenantName string, at time.Time)
 }
 
-// Outcome is how a request ended, for metrics.
+// Outcome describes how a request ended, for metrics.
 type Outcome struct {
 	Kind routetable.Kind
-	// Status is 0 when the connection was closed without a whole answer.
+	// Status is 0 if the connection was closed without a complete response.
 	Status   int
 	Reason   string
 	Attempts int
-	Took     time.Duration
+	Duration time.Duration
 }
 
-// Gateway serves single requests. It may be used by several goroutines.
+// Gateway serves single requests. It is safe for concurrent use.
 type Gateway struct {
 	options  Options
 	balancer *balancer
@@ -56,40 +56,40 @@
 	if options.Observe == nil {
 		options.Observe = func(Outcome) {}
 	}
-	if options.Began == nil {
-		options.Began = func(string, time.Time) {}
+	if options.OnStarted == nil {
+		options.OnStarted = func(string, time.Time) {}
 	}
-	if options.Quarantine == nil {
-		options.Quarantine = crashwatch.NewTracker(crashwatch.Options{})
+	if options.Tracker == nil {
+		options.Tracker = crashwatch.NewTracker(crashwatch.Options{})
 	}
 	return &Gateway{options: options, balancer: newBalancer(options.Node, options.Zone)}
 }
 
-// Forget drops what was seen of servers that are no longer listed.
-func (g *Gateway) Forget() { g.balancer.forget(g.options.Directory.Snapshot()) }
+// Prune drops the state of servers that are no longer listed.
+func (g *Gateway) Prune() { g.balancer.prune(g.options.Directory.Snapshot()) }
 
-// The timing of attempts.
+// Timing and limits of attempts.
 const (
-	// defaultDeadline bounds requests that name none.
+	// defaultDeadline bounds requests that state no deadline.
 	defaultDeadline = 30 * time.Second
-	// hedgeShare is the share of the latency target after which a repeatable
-	// request is sent to a second server as well.
-	hedgeShare = 0.4
-	// loserGrace is how long an attempt whose answer is no longer needed may
-	// still run, so that its connection is kept.
-	loserGrace = 300 * time.Millisecond
-	// retryAfter is what refused callers are told.
-	retryAfter = 50 * time.Millisecond
-	// mostUnreached bounds the servers that a call fails to get to before it is given up. The
-	// list still has a crashed server for some seconds, and each costs a refused connection.
-	mostUnreached = 8
-	// heldRetryAfter is what the caller of a held request is told at the least.
-	heldRetryAfter = time.Second
-	// bufferLimit is the largest answer that is read whole before it is passed on.
-	bufferLimit = 1 << 20
+	// hedgeFraction is the fraction of the latency target after which a repeatable request is also
+	// sent to a second server.
+	hedgeFraction = 0.4
+	// cancelGrace is how long an attempt whose response is no longer needed may go on, so that its
+	// connection can be reused.
+	cancelGrace = 300 * time.Millisecond
+	// defaultRetryAfter is the Retry-After of refused requests.
+	defaultRetryAfter = 50 * time.Millisecond
+	// maxUnreachable bounds the unreachable servers per call. A crashed server stays listed for
+	// some seconds, and each costs a refused connection.
+	maxUnreachable = 8
+	// minHeldRetryAfter is the smallest Retry-After of a held request.
+	minHeldRetryAfter = time.Second
+	// maxBufferedBytes is the largest response that is buffered before it is passed on.
+	maxBufferedBytes = 1 << 20
 )
 
-// call is one request under way.
+// call is the state of one request in progress.
 type call struct {
 	gateway  *Gateway
 	request  *Request
@@ -98,52 +98,52 @@
 	service  string
 	deadline time.Time
 	tried    map[directory.Incarnation]bool
-	// attempts counts the servers that may have run the request, or run it now; unreached those
-	// that it did not get to, which are none.
-	attempts  int
-	unreached int
+	// attempts counts the servers that run or may have run the request; unreachable counts failed
+	// connections, which are not attempts.
+	attempts    int
+	unreachable int
 	// servers holds the ids of the servers tried, in order.
 	servers []string
-	// reason says why the last attempt brought nothing.
+	// reason says why the last attempt gave no response.
 	reason string
-	// unrun is true while no server may have run the request.
-	unrun bool
+	// notExecuted is true as long as no server may have executed the request.
+	notExecuted bool
 	// repeatable requests may run more than once.
 	repeatable bool
-	// failures counts the servers that answered that the request failed.
+	// failures counts the servers that answered with status 500.
 	failures int
-	// alone says that this node runs no other try of the request, which is unclear.
-	alone bool
-	// held says that the request was not sent on since servers ended under it.
+	// inTrial says that this call holds the node's only trial of an ambiguous request.
+	inTrial bool
+	// held says that the request was refused because servers ended under it.
 	held bool
 
-	fingerprintOnce sync.Once
-	fingerprintMade quarantine.Fingerprint
+	fingerprintOnce  sync.Once
+	fingerprintValue quarantine.Fingerprint
 }
 
-// Serve answers a request of a route.
+// Serve handles a request that matched a route.
 func (g *Gateway) Serve(ctx context.Context, w http.ResponseWriter, table *routetable.Table, route *routetable.Route, request *Request) {
 	target, ok := route.Pick(rand.Float64())
 	if !ok {
-		Refuse(w, http.StatusServiceUnavailable, retryAfter)
+		Refuse(w, http.StatusServiceUnavailable, defaultRetryAfter)
 		return
 	}
 	c := &call{
 		gateway: g, request: request, route: route, table: table, service: target.Service,
-		deadline: deadlineOf(route, request), tried: make(map[directory.Incarnation]bool), unrun: true, repeatable: route.Repeatable(),
+		deadline: requestDeadline(route, request), tried: make(map[directory.Incarnation]bool), notExecuted: true, repeatable: route.Repeatable(),
 	}
 	ctx, cancel := context.WithTimeout(ctx, clock.Until(c.deadline))
 	defer cancel()
 	var status int
 	if route.Kind == routetable.KindStream {
-		status = c.stream(ctx, w)
+		status = c.serveStream(ctx, w)
 	} else {
-		status = c.single(ctx, w)
+		status = c.serveSingle(ctx, w)
 	}
-	c.log(status)
+	c.recordOutcome(status)
 }
 
-func deadlineOf(route *routetable.Route, request *Request) time.Time {
+func requestDeadline(route *routetable.Route, request *Request) time.Time {
 	deadline := request.Received.Add(defaultDeadline)
 	if !request.Deadline.IsZero() {
 		deadline = request.Deadline
@@ -154,13 +154,13 @@
 	return deadline
 }
 
-func (c *call) log(status int) {
+func (c *call) recordOutcome(status int) {
 	took := clock.Since(c.request.Received)
 	fingerprint := zap.Skip()
 	if c.held {
 		fingerprint = zap.String("fingerprint", c.fingerprint().Short())
 	}
-	c.gateway.options.Observe(Outcome{Kind: c.route.Kind, Status: status, Reason: c.reason, Attempts: len(c.servers), Took: took})
+	c.gateway.options.Observe(Outcome{Kind: c.route.Kind, Status: status, Reason: c.reason, Attempts: len(c.servers), Duration: took})
 	c.gateway.options.Logger.Info("request answered",
 		zap.String("request", c.request.ID), zap.Int("status", status), zap.String("route", c.route.Name),
 		zap.String("service", c.service), zap.Int64("configuration", c.table.Version),
@@ -168,24 +168,24 @@
 		zap.Strings("servers", c.servers), zap.String("reason", c.reason), zap.Duration("took", took), fingerprint)
 }
 
-// Refuse answers that a request has not run, and when to come back.
-func Refuse(w http.ResponseWriter, status int, after time.Duration) {
-	w.Header().Set("Retry-After", strconv.FormatFloat(after.Seconds(), 'f', -1, 64))
+// Refuse responds that a request was not executed, and when to retry.
+func Refuse(w http.ResponseWriter, status int, retryAfter time.Duration) {
+	w.Header().Set("Retry-After", strconv.FormatFloat(retryAfter.Seconds(), 'f', -1, 64))
 	w.Header().Set("Content-Length", "0")
 	w.WriteHeader(status)
 }
 
-// fail gives the final answer of a request that no server served.
-func (c *call) fail(w http.ResponseWriter) int {
+// writeFailure writes the final response of a request that no server answered.
+func (c *call) writeFailure(w http.ResponseWriter) int {
 	status := http.StatusBadGateway
 	switch {
-	case c.unrun:
+	case c.notExecuted:
 		status = http.StatusServiceUnavailable
 	case !clock.Now().Before(c.deadline):
 		status = http.StatusGatewayTimeout
 	}
 	if status == http.StatusServiceUnavailable {
-		Refuse(w, status, c.comeBackAfter())
+		Refuse(w, status, c.retryAfter())
 		return status
 	}
 	w.Header().Set("Content-Length", "0")
@@ -193,34 +193,34 @@
 	return status
 }
 
-// comeBackAfter is when a refused caller may come back. A held request is refused until its hold
-// ends, at the other nodes as well: an earlier try costs the caller, and brings nothing.
-func (c *call) comeBackAfter() time.Duration {
+// retryAfter returns when a refused caller should retry. A held request is refused by every node
+// until its hold ends, so retrying earlier is useless.
+func (c *call) retryAfter() time.Duration {
 	if !c.held {
-		return retryAfter
+		return defaultRetryAfter
 	}
-	left := clock.Until(c.gateway.options.Quarantine.HoldEnds(c.fingerprint()))
-	return max(left.Truncate(time.Millisecond), heldRetryAfter)
+	remaining := clock.Until(c.gateway.options.Tracker.HoldEnds(c.fingerprint()))
+	return max(remaining.Truncate(time.Millisecond), minHeldRetryAfter)
 }
 
-// single serves a request whose answer is one body.
-func (c *call) single(ctx context.Context, w http.ResponseWriter) int {
-	got, ok := c.await(ctx)
+// serveSingle serves a request whose response is a single body.
+func (c *call) serveSingle(ctx context.Context, w http.ResponseWriter) int {
+	got, ok := c.awaitResponse(ctx)
 	if !ok {
-		return c.fail(w)
+		return c.writeFailure(w)
 	}
-	return c.relay(w, got)
+	return c.writeResponse(w, got)
 }
 
-// await makes attempts until one brings the final answer; ok is false when none did.
-func (c *call) await(ctx context.Context) (got attempt, ok bool) {
-	results := make(chan attempt, max(c.route.MaxAttempts, 1)+mostUnreached)
+// awaitResponse makes attempts until one gives the final response; ok is false if none did.
+func (c *call) awaitResponse(ctx context.Context) (result attemptResult, ok bool) {
+	results := make(chan attemptResult, max(c.route.MaxAttempts, 1)+maxUnreachable)
 	pending := 0
 	var hedge <-chan time.Time
 	for {
 		if pending == 0 {
-			if !c.launch(ctx, results) {
-				return attempt{}, false
+			if !c.startAttempt(ctx, results) {
+				return attemptResult{}, false
 			}
 			pending++
 			hedge = c.hedgeTimer()
@@ -228,21 +228,21 @@
 		select {
 		case <-ctx.Done():
 			c.reason = endReason(ctx)
-			c.unrun = false
-			return attempt{}, false
+			c.notExecuted = false
+			return attemptResult{}, false
 		case <-hedge:
 			hedge = nil
-			// A request that may crash its server runs at one at a time.
-			if c.suspicion().Ends == 0 && c.launch(ctx, results) {
+			// A suspected request is not hedged, so that it crashes one server at a time.
+			if c.suspicion().Ends == 0 && c.startAttempt(ctx, results) {
 				pending++
 			}
-		case got := <-results:
+		case result := <-results:
 			pending--
-			if !c.usable(got, pending) {
-				got.drop()
+			if !c.isFinal(result, pending) {
+				result.close()
 				continue
 			}
-			return got, true
+			return result, true
 		}
 	}
 }
@@ -263,11 +263,11 @@
 	if !c.repeatable || c.route.LatencyTarget <= 0 {
 		return nil
 	}
-	return time.After(time.Duration(hedgeShare * float64(c.route.LatencyTarget)))
+	return time.After(time.Duration(hedgeFraction * float64(c.route.LatencyTarget)))
 }
 
-// launch begins an attempt at another server; it returns false when there is none.
-func (c *call) launch(ctx context.Context, results chan<- attempt) bool {
+// startAttempt starts an attempt at another server; it returns false if there is none.
+func (c *call) startAttempt(ctx context.Context, results chan<- attemptResult) bool {
 	server := c.nextServer(ctx)
 	if server == nil {
 		return false
@@ -276,24 +276,24 @@
 	return true
 }
 
-// nextServer returns the server for the next attempt, or nil where there is to be none.
+// nextServer returns the server for the next attempt, or nil if there must be no other attempt.
 func (c *call) nextServer(ctx context.Context) *directory.Server {
-	if c.attempts >= max(c.route.MaxAttempts, 1) || c.unreached >= mostUnreached || !c.unrun && !c.repeatable {
+	if c.attempts >= max(c.route.MaxAttempts, 1) || c.unreachable >= maxUnreachable || !c.notExecuted && !c.repeatable {
 		return nil
 	}
 	if !clock.Now().Before(c.deadline) {
 		c.reason = "deadline"
 		return nil
 	}
-	known := c.settledSuspicion(ctx)
-	if known.Held || known.Unclear && !c.tryAlone() {
+	suspicion := c.suspicionAfterProbes(ctx)
+	if suspicion.Held || suspicion.Unclear && !c.beginTrial() {
 		c.held = true
 		c.reason = reasonHeld
 		return nil
 	}
-	server := c.choose(c.gateway.options.Directory.Snapshot().Ready(c.service), known)
+	server := c.chooseServer(c.gateway.options.Directory.Snapshot().Ready(c.service), suspicion)
 	if server == nil {
-		c.endTry()
+		c.endTrial()
 		if c.reason == "" {
 			c.reason = "no server"
 		}
@@ -305,33 +305,33 @@
 	return server
 }
 
-func (g *Gateway) observe(began time.Time, server *directory.Server, got attempt) {
+func (g *Gateway) recordAttempt(start time.Time, server *directory.Server, result attemptResult) {
 	now := clock.Now()
 	switch {
-	case got.failed != nil:
-		g.balancer.ended(now, server.Incarnation(), 0, nil, brokenPause)
-	case got.answer.NotExecuted:
-		g.balancer.ended(now, server.Incarnation(), 0, got.answer.Load, fullPause)
-	case got.answer.Status >= http.StatusInternalServerError:
-		g.balancer.ended(now, server.Incarnation(), 0, got.answer.Load, fullPause)
+	case result.sendErr != nil:
+		g.balancer.recordResult(now, server.Incarnation(), 0, nil, failureBackoff)
+	case result.response.NotExecuted:
+		g.balancer.recordResult(now, server.Incarnation(), 0, result.response.Load, overloadBackoff)
+	case result.response.Status >= http.StatusInternalServerError:
+		g.balancer.recordResult(now, server.Incarnation(), 0, result.response.Load, overloadBackoff)
 	default:
-		g.balancer.ended(now, server.Incarnation(), now.Sub(began), got.answer.Load, 0)
+		g.balancer.recordResult(now, server.Incarnation(), now.Sub(start), result.response.Load, 0)
 	}
 }
 
-// usable says whether an attempt's answer is the final one. Others may be pending.
-func (c *call) usable(got attempt, pending int) bool {
+// isFinal reports whether the result is final; pending is the number of attempts still running.
+func (c *call) isFinal(result attemptResult, pending int) bool {
 	switch {
-	case got.failed != nil:
-		c.noteFailed(got.failed)
+	case result.sendErr != nil:
+		c.recordSendError(result.sendErr)
 		return false
-	case got.answer.NotExecuted:
+	case result.response.NotExecuted:
 		c.reason = "refused by the server"
 		return false
-	case got.answer.Status >= http.StatusInternalServerError && c.repeatable:
-		c.reason = "failed at the server: " + strconv.Itoa(got.answer.Status)
-		c.unrun = false
-		if got.answer.Status == http.StatusInternalServerError {
+	case result.response.Status >= http.StatusInternalServerError && c.repeatable:
+		c.reason = "failed at the server: " + strconv.Itoa(result.response.Status)
+		c.notExecuted = false
+		if result.response.Status == http.StatusInternalServerError {
 			c.failures++
 		}
 		return pending == 0 && c.attempts >= max(c.route.MaxAttempts, 1)
@@ -339,40 +339,40 @@
 	return true
 }
 
-// noteFailed takes that an attempt brought no answer.
-func (c *call) noteFailed(failed *SendError) {
-	c.reason = "broken: " + failed.Error()
-	c.unrun = c.unrun && !failed.Sent
-	if !failed.Sent {
+// recordSendError records an attempt that gave no response.
+func (c *call) recordSendError(sendErr *SendError) {
+	c.reason = "broken: " + sendErr.Error()
+	c.notExecuted = c.notExecuted && !sendErr.Sent
+	if !sendErr.Sent {
 		c.attempts--
-		c.unreached++
+		c.unreachable++
 	}
 }
 
-// relay passes an answer on.
-func (c *call) relay(w http.ResponseWriter, got attempt) int {
-	defer got.drop()
-	copyHeader(w.Header(), got.answer.Header)
-	if got.answer.Length >= 0 {
-		w.Header().Set("Content-Length", strconv.FormatInt(got.answer.Length, 10))
-	} else if got.whole {
-		w.Header().Set("Content-Length", strconv.Itoa(len(got.head)))
+// writeResponse passes a response on to the caller.
+func (c *call) writeResponse(w http.ResponseWriter, result attemptResult) int {
+	defer result.close()
+	copyHeader(w.Header(), result.response.Header)
+	if result.response.Length >= 0 {
+		w.Header().Set("Content-Length", strconv.FormatInt(result.response.Length, 10))
+	} else if result.complete {
+		w.Header().Set("Content-Length", strconv.Itoa(len(result.prefix)))
 	}
-	w.WriteHeader(got.answer.Status)
-	if _, err := w.Write(got.head); err != nil {
+	w.WriteHeader(result.response.Status)
+	if _, err := w.Write(result.prefix); err != nil {
 		c.reason = "caller left"
 		return 0
 	}
-	if got.whole {
-		return got.answer.Status
+	if result.complete {
+		return result.response.Status
 	}
-	if _, err := io.Copy(w, got.answer.Body); err != nil {
-		// The caller must not take the part for the whole.
+	if _, err := io.Copy(w, result.response.Body); err != nil {
+		// Abort the connection, or the caller would take the truncated body for a complete one.
 		c.reason = "cut: " + err.Error()
-		c.log(0)
+		c.recordOutcome(0)
 		panic(http.ErrAbortHandler)
 	}
-	return got.answer.Status
+	return result.response.Status
 }
 
 func copyHeader(target, source http.Header) {
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -19,59 +19,59 @@
 	"dalehook/internal/routetable"
 )
 
-// script answers the attempts of a test in turn.
-type script struct {
-	mutex    sync.Mutex
-	attempts []Attempt
-	answers  []func(context.Context, Attempt) (*Answer, *SendError)
+// scriptedBackend answers attempts with its responses in turn.
+type scriptedBackend struct {
+	mutex     sync.Mutex
+	attempts  []Attempt
+	responses []func(context.Context, Attempt) (*Response, *SendError)
 }
 
-func (s *script) Send(ctx context.Context, attempt Attempt) (*Answer, *SendError) {
+func (s *scriptedBackend) Send(ctx context.Context, attempt Attempt) (*Response, *SendError) {
 	s.mutex.Lock()
 	number := len(s.attempts)
 	s.attempts = append(s.attempts, attempt)
-	answer := s.answers[min(number, len(s.answers)-1)]
+	respond := s.responses[min(number, len(s.responses)-1)]
 	s.mutex.Unlock()
-	return answer(ctx, attempt)
+	return respond(ctx, attempt)
 }
 
-func (s *script) count() int {
+func (s *scriptedBackend) attemptCount() int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return len(s.attempts)
 }
 
-type answerFunc = func(context.Context, Attempt) (*Answer, *SendError)
+type responseFunc = func(context.Context, Attempt) (*Response, *SendError)
 
-func whole(status int, body string) answerFunc {
-	return func(context.Context, Attempt) (*Answer, *SendError) {
-		return &Answer{
+func respondWith(status int, body string) responseFunc {
+	return func(context.Context, Attempt) (*Response, *SendError) {
+		return &Response{
 			Status: status, Header: http.Header{"Signed": {"yes"}},
 			Body: io.NopCloser(strings.NewReader(body)), Length: int64(len(body)),
 		}, nil
 	}
 }
 
-func notExecuted(context.Context, Attempt) (*Answer, *SendError) {
-	return &Answer{Status: 503, NotExecuted: true, Header: http.Header{}, Body: http.NoBody}, nil
+func respondNotExecuted(context.Context, Attempt) (*Response, *SendError) {
+	return &Response{Status: 503, NotExecuted: true, Header: http.Header{}, Body: http.NoBody}, nil
 }
 
-func broken(sent bool) answerFunc {
-	return func(context.Context, Attempt) (*Answer, *SendError) {
+func failWith(sent bool) responseFunc {
+	return func(context.Context, Attempt) (*Response, *SendError) {
 		return nil, &SendError{Cause: errors.New("connection reset"), Sent: sent}
 	}
 }
 
-func silent(ctx context.Context, _ Attempt) (*Answer, *SendError) {
+func hang(ctx context.Context, _ Attempt) (*Response, *SendError) {
 	<-ctx.Done()
 	return nil, &SendError{Cause: ctx.Err(), Sent: true}
 }
 
-// cutBody answers with a part of a body.
-func cutBody(part string) answerFunc {
-	return func(context.Context, Attempt) (*Answer, *SendError) {
+// respondTruncated responds with a body that breaks off after part.
+func respondTruncated(part string) responseFunc {
+	return func(context.Context, Attempt) (*Response, *SendError) {
 		body := io.MultiReader(strings.NewReader(part), failingReader{})
-		return &Answer{Status: 200, Header: http.Header{}, Body: io.NopCloser(body), Length: -1}, nil
+		return &Response{Status: 200, Header: http.Header{}, Body: io.NopCloser(body), Length: -1}, nil
 	}
 }
 
@@ -79,9 +79,9 @@
 
 func (failingReader) Read([]byte) (int, error) { return 0, io.ErrUnexpectedEOF }
 
-func serve(t *testing.T, kind routetable.Kind, resumable bool, deadline time.Duration, answers ...answerFunc) (*http.Response, string, *script) {
+func serve(t *testing.T, kind routetable.Kind, resumable bool, deadline time.Duration, responses ...responseFunc) (*http.Response, string, *scriptedBackend) {
 	t.Helper()
-	backend := &script{answers: answers}
+	backend := &scriptedBackend{responses: responses}
 	list := directory.NewDirectory()
 	for i := range 3 {
 		put := directory.Server{ID: fmt.Sprint("s", i), Service: "svc", Zone: "z", Slots: 4}
@@ -114,29 +114,29 @@
 	cases := []struct {
 		name     string
 		kind     routetable.Kind
-		answers  []answerFunc
+		answers  []responseFunc
 		status   int
 		body     string
 		attempts int
 	}{
-		{"whole answer", routetable.KindSafe, []answerFunc{whole(200, "ok")}, 200, "ok", 1},
-		{"safe goes on after a break", routetable.KindSafe, []answerFunc{broken(true), whole(200, "ok")}, 200, "ok", 2},
-		{"safe goes on after a cut body", routetable.KindSafe, []answerFunc{cutBody("o"), whole(200, "ok")}, 200, "ok", 2},
-		{"safe goes on after a failure", routetable.KindSafe, []answerFunc{whole(500, "bad"), whole(200, "ok")}, 200, "ok", 2},
-		{"the last failure is passed on", routetable.KindSafe, []answerFunc{whole(500, "bad")}, 500, "bad", 3},
-		{"unsafe ends at a break after sending", routetable.KindUnsafe, []answerFunc{broken(true), whole(200, "ok")}, 502, "", 1},
-		{"unsafe ends at a cut body", routetable.KindUnsafe, []answerFunc{cutBody("o"), whole(200, "ok")}, 502, "", 1},
-		{"unsafe goes on when nothing was sent", routetable.KindUnsafe, []answerFunc{broken(false), whole(200, "ok")}, 200, "ok", 2},
-		{"unsafe goes on when it was not executed", routetable.KindUnsafe, []answerFunc{notExecuted, whole(200, "ok")}, 200, "ok", 2},
-		{"unsafe failures are passed on", routetable.KindUnsafe, []answerFunc{whole(500, "bad")}, 500, "bad", 1},
-		{"refused by all", routetable.KindUnsafe, []answerFunc{notExecuted}, 503, "", 3},
-		{"safe broken everywhere", routetable.KindSafe, []answerFunc{broken(true)}, 502, "", 3},
+		{"complete response", routetable.KindSafe, []responseFunc{respondWith(200, "ok")}, 200, "ok", 1},
+		{"safe retries after a broken connection", routetable.KindSafe, []responseFunc{failWith(true), respondWith(200, "ok")}, 200, "ok", 2},
+		{"safe retries after a truncated body", routetable.KindSafe, []responseFunc{respondTruncated("o"), respondWith(200, "ok")}, 200, "ok", 2},
+		{"safe retries after a failure", routetable.KindSafe, []responseFunc{respondWith(500, "bad"), respondWith(200, "ok")}, 200, "ok", 2},
+		{"the last failure is passed on", routetable.KindSafe, []responseFunc{respondWith(500, "bad")}, 500, "bad", 3},
+		{"unsafe fails on a broken connection after sending", routetable.KindUnsafe, []responseFunc{failWith(true), respondWith(200, "ok")}, 502, "", 1},
+		{"unsafe fails on a truncated body", routetable.KindUnsafe, []responseFunc{respondTruncated("o"), respondWith(200, "ok")}, 502, "", 1},
+		{"unsafe retries if nothing was sent", routetable.KindUnsafe, []responseFunc{failWith(false), respondWith(200, "ok")}, 200, "ok", 2},
+		{"unsafe retries if it was not executed", routetable.KindUnsafe, []responseFunc{respondNotExecuted, respondWith(200, "ok")}, 200, "ok", 2},
+		{"unsafe failures are passed on", routetable.KindUnsafe, []responseFunc{respondWith(500, "bad")}, 500, "bad", 1},
+		{"refused by all servers", routetable.KindUnsafe, []responseFunc{respondNotExecuted}, 503, "", 3},
+		{"safe with broken connections only", routetable.KindSafe, []responseFunc{failWith(true)}, 502, "", 3},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			response, body, backend := serve(t, c.kind, false, long, c.answers...)
-			if response.StatusCode != c.status || body != c.body || backend.count() != c.attempts {
-				t.Errorf("status %d, body %q, %d attempts", response.StatusCode, body, backend.count())
+			if response.StatusCode != c.status || body != c.body || backend.attemptCount() != c.attempts {
+				t.Errorf("status %d, body %q, %d attempts", response.StatusCode, body, backend.attemptCount())
 			}
 			refused := response.StatusCode == http.StatusServiceUnavailable
 			if refused != (response.Header.Get("Retry-After") != "") {
@@ -146,40 +146,40 @@
 	}
 }
 
-func TestASlowSafeRequestIsHedged(t *testing.T) {
-	response, body, backend := serve(t, routetable.KindSafe, false, 10*time.Second, silent, whole(200, "ok"))
-	if response.StatusCode != 200 || body != "ok" || backend.count() != 2 {
-		t.Errorf("status %d, body %q, %d attempts", response.StatusCode, body, backend.count())
+func TestSlowSafeRequestIsHedged(t *testing.T) {
+	response, body, backend := serve(t, routetable.KindSafe, false, 10*time.Second, hang, respondWith(200, "ok"))
+	if response.StatusCode != 200 || body != "ok" || backend.attemptCount() != 2 {
+		t.Errorf("status %d, body %q, %d attempts", response.StatusCode, body, backend.attemptCount())
 	}
 	backend.mutex.Lock()
 	defer backend.mutex.Unlock()
 	if backend.attempts[0].Server.ID == backend.attempts[1].Server.ID {
-		t.Error("both attempts went to one server")
+		t.Error("both attempts went to the same server")
 	}
 }
 
-func TestAnUnsafeRequestIsNotHedged(t *testing.T) {
-	response, _, backend := serve(t, routetable.KindUnsafe, false, 300*time.Millisecond, silent)
-	if response.StatusCode != http.StatusGatewayTimeout || backend.count() != 1 {
-		t.Errorf("status %d, %d attempts", response.StatusCode, backend.count())
+func TestUnsafeRequestIsNotHedged(t *testing.T) {
+	response, _, backend := serve(t, routetable.KindUnsafe, false, 300*time.Millisecond, hang)
+	if response.StatusCode != http.StatusGatewayTimeout || backend.attemptCount() != 1 {
+		t.Errorf("status %d, %d attempts", response.StatusCode, backend.attemptCount())
 	}
 }
 
-func TestNoAttemptOutlivesItsDeadline(t *testing.T) {
-	_, _, backend := serve(t, routetable.KindSafe, false, 300*time.Millisecond, silent)
+func TestAttemptTimeoutIsWithinDeadline(t *testing.T) {
+	_, _, backend := serve(t, routetable.KindSafe, false, 300*time.Millisecond, hang)
 	backend.mutex.Lock()
 	defer backend.mutex.Unlock()
 	for _, attempt := range backend.attempts {
-		if attempt.Left > 300*time.Millisecond {
-			t.Errorf("a server got %v", attempt.Left)
+		if attempt.Timeout > 300*time.Millisecond {
+			t.Errorf("attempt has timeout %v", attempt.Timeout)
 		}
 	}
 }
 
-// A node that was frozen wakes with requests whose callers have left long ago.
-func TestARequestPastItsDeadlineIsNotSent(t *testing.T) {
+// A node that was suspended must not send requests whose callers have given up meanwhile.
+func TestRequestPastDeadlineIsNotSent(t *testing.T) {
 	for _, kind := range []routetable.Kind{routetable.KindSafe, routetable.KindStream} {
-		backend := &script{answers: []answerFunc{whole(200, "ok")}}
+		backend := &scriptedBackend{responses: []responseFunc{respondWith(200, "ok")}}
 		list := directory.NewDirectory()
 		put := directory.Server{ID: "s", Service: "svc", Slots: 4}
 		list.Apply([]directory.Change{{ID: put.ID, Server: &put}})
@@ -190,8 +190,8 @@
 		gateway.Serve(context.Background(), recorder, table, route, &Request{
 			ID: "id", Method: "POST", Target: "/", Received: time.Now().Add(-5 * time.Second), Deadline: time.Now().Add(-4 * time.Second),
 		})
-		if backend.count() != 0 {
-			t.Errorf("%v: sent after its deadline", kind)
+		if backend.attemptCount() != 0 {
+			t.Errorf("%v: sent after the deadline", kind)
 		}
 		if recorder.Code != http.StatusServiceUnavailable {
 			t.Errorf("%v: status %d", kind, recorder.Code)
@@ -204,26 +204,26 @@
 	eventTwo = "id: 2\ndata: b\n\n"
 )
 
-func TestAResumableStreamGoesOnElsewhere(t *testing.T) {
+func TestResumableStreamContinuesAtAnotherServer(t *testing.T) {
 	response, body, backend := serve(t, routetable.KindStream, true, 10*time.Second,
-		cutBody(eventOne+"id: 2\nda"), whole(200, eventTwo))
+		respondTruncated(eventOne+"id: 2\nda"), respondWith(200, eventTwo))
 	if response.StatusCode != 200 || body != eventOne+eventTwo {
 		t.Errorf("status %d, body %q", response.StatusCode, body)
 	}
-	if backend.count() != 2 || backend.attempts[1].LastEventID != "1" {
+	if backend.attemptCount() != 2 || backend.attempts[1].LastEventID != "1" {
 		t.Errorf("attempts %+v", backend.attempts)
 	}
 }
 
-func TestABrokenStreamDoesNotLookWhole(t *testing.T) {
-	_, body, backend := serve(t, routetable.KindStream, false, 10*time.Second, cutBody(eventOne), whole(200, eventTwo))
-	if body != "cut: "+eventOne || backend.count() != 1 {
-		t.Errorf("body %q, %d attempts", body, backend.count())
+func TestTruncatedStreamAbortsConnection(t *testing.T) {
+	_, body, backend := serve(t, routetable.KindStream, false, 10*time.Second, respondTruncated(eventOne), respondWith(200, eventTwo))
+	if body != "cut: "+eventOne || backend.attemptCount() != 1 {
+		t.Errorf("body %q, %d attempts", body, backend.attemptCount())
 	}
 }
 
-func TestARefusedStreamGoesOnElsewhere(t *testing.T) {
-	response, body, _ := serve(t, routetable.KindStream, false, 10*time.Second, notExecuted, whole(200, eventOne))
+func TestRefusedStreamRetriesAtAnotherServer(t *testing.T) {
+	response, body, _ := serve(t, routetable.KindStream, false, 10*time.Second, respondNotExecuted, respondWith(200, eventOne))
 	if response.StatusCode != 200 || body != eventOne {
 		t.Errorf("status %d, body %q", response.StatusCode, body)
 	}
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -10,110 +10,111 @@
 	"dalehook/internal/eventstream"
 )
 
-// stream serves a request whose answer is a series of events. A resumable stream
-// that breaks is continued at another server inside the same answer.
-func (c *call) stream(ctx context.Context, w http.ResponseWriter) int {
-	relay := &streamRelay{call: c, w: w, lastID: c.request.LastEventID}
+// serveStream serves a request whose response is an event stream. A resumable stream that breaks is
+// continued at another server within the same response.
+func (c *call) serveStream(ctx context.Context, w http.ResponseWriter) int {
+	relay := &streamRelay{call: c, w: w, lastEventID: c.request.LastEventID}
 	for {
 		server := c.nextServer(ctx)
 		if server == nil {
-			return relay.giveUp()
+			return relay.fail()
 		}
-		began := clock.Now()
+		start := clock.Now()
 		attemptCtx, cancel := context.WithCancel(ctx)
-		answer, failed := c.gateway.options.Backend.Send(attemptCtx, Attempt{
-			Request: c.request, Server: server, Left: leftUntil(c.deadline), LastEventID: relay.lastID,
+		response, sendErr := c.gateway.options.Backend.Send(attemptCtx, Attempt{
+			Request: c.request, Server: server, Timeout: remainingUntil(c.deadline), LastEventID: relay.lastEventID,
 		})
-		relay.broken = nil
-		before := relay.lastID
-		done, status := relay.take(answer, failed)
+		relay.breakErr = nil
+		previousID := relay.lastEventID
+		done, status := relay.forward(response, sendErr)
 		if attemptCtx.Err() == nil {
-			c.noteEnd(server, began, relay.broken, relay.lastID != before, done && relay.ended)
+			c.reportToTracker(server, start, relay.breakErr, relay.lastEventID != previousID, done && relay.complete)
 		}
-		c.endTry()
-		c.gateway.observe(c.request.Received, server, attempt{answer: answer, failed: failed})
+		c.endTrial()
+		c.gateway.recordAttempt(c.request.Received, server, attemptResult{response: response, sendErr: sendErr})
 		cancel()
 		if done {
 			return status
 		}
 		if ctx.Err() != nil {
 			c.reason = endReason(ctx)
-			return relay.giveUp()
+			return relay.fail()
 		}
 	}
 }
 
-// streamRelay passes the events of one or several servers on as one answer.
+// streamRelay forwards the events of one or more servers as a single response.
 type streamRelay struct {
-	call    *call
-	w       http.ResponseWriter
-	lastID  string
-	started bool
-	status  int
-	// broken is why the last server broke its answer off after the request had been sent; nil
-	// where it did not. Ended says that a server's stream came to its end.
-	broken error
-	ended  bool
+	call        *call
+	w           http.ResponseWriter
+	lastEventID string
+	headerSent  bool
+	status      int
+	// breakErr is the error with which the last server broke the response off after the request had
+	// been sent; nil if it did not. complete says that a server's stream ended normally.
+	breakErr error
+	complete bool
 }
 
-// take passes on an answer; done says that the caller has its final answer.
-func (r *streamRelay) take(answer *Answer, failed *SendError) (done bool, status int) {
+// forward passes a response on; done says that the caller has the final response.
+func (r *streamRelay) forward(response *Response, sendErr *SendError) (done bool, status int) {
 	c := r.call
-	if failed != nil {
-		c.noteFailed(failed)
-		if failed.Sent {
-			r.broken = failed
+	if sendErr != nil {
+		c.recordSendError(sendErr)
+		if sendErr.Sent {
+			r.breakErr = sendErr
 		}
 		return false, 0
 	}
-	defer answer.Body.Close()
-	if answer.NotExecuted {
+	defer response.Body.Close()
+	if response.NotExecuted {
 		c.reason = "refused by the server"
 		return false, 0
 	}
-	c.unrun = false
-	c.gateway.options.Began(c.request.Caller.Tenant, clock.Now())
-	if answer.Status != http.StatusOK {
-		return r.takeFailure(answer)
+	c.notExecuted = false
+	c.gateway.options.OnStarted(c.request.Caller.Tenant, clock.Now())
+	if response.Status != http.StatusOK {
+		return r.forwardFailure(response)
 	}
-	r.start(answer)
-	err := r.copy(answer.Body)
+	r.writeHeader(response)
+	err := r.forwardEvents(response.Body)
 	if errors.Is(err, io.EOF) {
-		r.ended = true
+		r.complete = true
 		return true, r.status
 	}
 	c.reason = "cut: " + err.Error()
 	return false, 0
 }
 
-// takeFailure passes on an answer that is no stream, unless another server may do
-// better or the head has been sent.
-func (r *streamRelay) takeFailure(answer *Answer) (done bool, status int) {
+// forwardFailure passes on a response that is not a stream, unless another server may do better or
+// the header has been sent.
+func (r *streamRelay) forwardFailure(response *Response) (done bool, status int) {
 	r.call.reason = "failed at the server"
-	if r.started || r.call.repeatable && answer.Status >= http.StatusInternalServerError {
+	if r.headerSent || r.call.repeatable && response.Status >= http.StatusInternalServerError {
 		return false, 0
 	}
-	copyHeader(r.w.Header(), answer.Header)
-	r.w.WriteHeader(answer.Status)
-	if _, err := io.Copy(r.w, answer.Body); err != nil {
+	copyHeader(r.w.Header(), response.Header)
+	r.w.WriteHeader(response.Status)
+	if _, err := io.Copy(r.w, response.Body); err != nil {
 		panic(http.ErrAbortHandler)
 	}
-	return true, answer.Status
+	return true, response.Status
 }
 
-func (r *streamRelay) start(answer *Answer) {
-	if r.started {
+func (r *streamRelay) writeHeader(response *Response) {
+	if r.headerSent {
 		return
 	}
-	r.started = true
-	r.status = answer.Status
-	copyHeader(r.w.Header(), answer.Header)
-	r.w.WriteHeader(answer.Status)
+	r.headerSent = true
+	r.status = response.Status
+	copyHeader(r.w.Header(), response.Header)
+	r.w.WriteHeader(response.Status)
 	r.flush()
 }
 
-// copy passes whole events on as they come; io.EOF is the stream's end.
-func (r *streamRelay) copy(body io.Reader) error {
+// forwardEvents passes complete events on as they arrive; it returns io.EOF at the end of the
+// stream.
+func (r *streamRelay) forwardEvents(body io.Reader) error {
 	events := eventstream.NewReader(body)
 	for {
 		event, err := events.Read()
@@ -121,7 +122,7 @@
 			return err
 		}
 		if err != nil {
-			r.broken = err
+			r.breakErr = err
 			return err
 		}
 		if _, err := r.w.Write(event.Raw); err != nil {
@@ -129,22 +130,22 @@
 		}
 		r.flush()
 		if event.ID != "" {
-			r.lastID = event.ID
+			r.lastEventID = event.ID
 		}
 	}
 }
 
 func (r *streamRelay) flush() {
-	// A writer that can not flush passes its bytes on by itself.
+	// A writer without Flush does not buffer.
 	_ = http.NewResponseController(r.w).Flush()
 }
 
-// giveUp ends the answer: by a failure while nothing was sent, else by breaking
-// the connection, since a whole-looking end would pass a part for the whole.
-func (r *streamRelay) giveUp() int {
-	if !r.started {
-		return r.call.fail(r.w)
+// fail ends the response: with an error status if nothing was sent, else by aborting the
+// connection, so that the caller does not take a truncated stream for a complete one.
+func (r *streamRelay) fail() int {
+	if !r.headerSent {
+		return r.call.writeFailure(r.w)
 	}
-	r.call.log(0)
+	r.call.recordOutcome(0)
 	panic(http.ErrAbortHandler)
 }
--- a/internal/gateway/subset.go
+++ b/internal/gateway/subset.go
@@ -9,70 +9,72 @@
 )
 
 const (
-	// subsetSize is the number of servers of a service that a node sends to while they take requests. A
-	// node of a large fleet sends a request every few seconds: over hundreds of servers it would
-	// never meet a warm connection, nor learn how busy a server is. Two that leave of eight are no
-	// loss.
+	// subsetSize is the number of servers of a service that a node sends to while they accept
+	// requests. A node of a large fleet sends a request every few seconds: spread over hundreds of
+	// servers it would never reuse a connection or learn the load of a server. Eight tolerate the
+	// loss of two.
 	subsetSize = 8
-	// subsetFrom is the number of servers from which on a node keeps to some of them.
-	subsetFrom = 2 * subsetSize
+	// minServersForSubset is the size of a service from which on nodes use a subset.
+	minServersForSubset = 2 * subsetSize
 )
 
-// subsets keeps the servers of each service that this node sends to. It is not safe for concurrent use.
+// subsets holds the servers of each service that this node sends to. It is not safe for concurrent
+// use.
 type subsets struct {
-	// node and zone are the node's own.
+	// node and zone are those of this node.
 	node, zone string
-	kept       map[string]subset
+	byService  map[string]subset
 }
 
 type subset struct {
-	// of is the list that the subset was chosen from.
-	of []*directory.Server
-	// ranked holds all of them in the order of this node's preference.
+	// source is the list that the subset was chosen from.
+	source []*directory.Server
+	// ranked holds all servers in this node's order of preference.
 	ranked []*directory.Server
 }
 
-// of returns the servers of a service to send to, of those listed, and all of them in the order of this
-// node's preference: those of its own zone by rendezvous hashing, then the others. Nodes choose
-// apart, so that all servers get as much; a server that comes or goes changes the choice of the
-// nodes that have it alone.
-func (s *subsets) of(service string, listed []*directory.Server) (first, all []*directory.Server) {
-	if len(listed) < subsetFrom {
+// preferred returns the subset of the listed servers to send to, and all of them in this node's
+// order of preference: its own zone first, each zone group by rendezvous hashing. Each node ranks
+// independently, which spreads load over all servers; adding or removing a server changes only the
+// subsets that contain it.
+func (s *subsets) preferred(service string, listed []*directory.Server) (selected, all []*directory.Server) {
+	if len(listed) < minServersForSubset {
 		return listed, listed
 	}
-	known, ok := s.kept[service]
-	if !ok || !sameList(known.of, listed) {
-		known = subset{of: listed, ranked: s.rank(listed)}
-		if s.kept == nil {
-			s.kept = make(map[string]subset)
+	cached, ok := s.byService[service]
+	if !ok || !isSameSlice(cached.source, listed) {
+		cached = subset{source: listed, ranked: s.rank(listed)}
+		if s.byService == nil {
+			s.byService = make(map[string]subset)
 		}
-		s.kept[service] = known
+		s.byService[service] = cached
 	}
-	return known.ranked[:subsetSize], known.ranked
+	return cached.ranked[:subsetSize], cached.ranked
 }
 
-// sameList says whether two lists are one: lists are not changed once published.
-func sameList(a, b []*directory.Server) bool {
+// isSameSlice reports whether two slices are identical: published lists are immutable.
+func isSameSlice(a, b []*directory.Server) bool {
 	return len(a) == len(b) && len(a) > 0 && &a[0] == &b[0]
 }
 
 func (s *subsets) rank(listed []*directory.Server) []*directory.Server {
-	ranked := rendezvous(s.node, listed)
-	// Servers that are equally near stay in their order.
-	slices.SortStableFunc(ranked, func(a, b *directory.Server) int { return cmp.Compare(s.distance(a), s.distance(b)) })
+	ranked := rankByRendezvous(s.node, listed)
+	// A stable sort keeps the hash order within each distance.
+	slices.SortStableFunc(ranked, func(a, b *directory.Server) int { return cmp.Compare(s.zoneDistance(a), s.zoneDistance(b)) })
 	return ranked
 }
 
-// distance is 0 for servers of the node's own zone, and 1 for others.
-func (s *subsets) distance(server *directory.Server) int {
+// zoneDistance is 0 for servers of the node's own zone and 1 for others.
+func (s *subsets) zoneDistance(server *directory.Server) int {
 	if server.Zone == s.zone {
 		return 0
 	}
 	return 1
 }
 
-// rendezvous orders servers by rendezvous hashing for a key, in the same way wherever it is done.
-func rendezvous(key string, servers []*directory.Server) []*directory.Server {
+// rankByRendezvous orders servers by rendezvous hashing for a key; every node computes the same
+// order.
+func rankByRendezvous(key string, servers []*directory.Server) []*directory.Server {
 	type scored struct {
 		server *directory.Server
 		score  uint64
@@ -85,8 +87,8 @@
 		return cmp.Or(cmp.Compare(b.score, a.score), cmp.Compare(a.server.ID, b.server.ID))
 	})
 	ranked := make([]*directory.Server, 0, len(servers))
-	for _, one := range all {
-		ranked = append(ranked, one.server)
+	for _, entry := range all {
+		ranked = append(ranked, entry.server)
 	}
 	return ranked
 }
--- a/internal/gateway/suspended_test.go
+++ b/internal/gateway/suspended_test.go
@@ -11,18 +11,18 @@
 	"dalehook/internal/routetable"
 )
 
-// Seen: none; read in the code. A request that was under way when the machine was suspended was
-// sent to another server afterwards, with the time that its caller had left before.
-// Cause: deadlines were compared by a clock that stands still during a suspension.
-func TestADeadlinePassesWhileTheMachineIsSuspended(t *testing.T) {
+// A request that was in progress when the machine was suspended was sent to another server after
+// the resume, with the time left from before: deadlines were compared by a clock that stops during
+// a suspension.
+func TestDeadlinePassesDuringSuspension(t *testing.T) {
 	const slept = 5 * time.Second
-	suspendedMeanwhile := func(context.Context, Attempt) (*Answer, *SendError) {
+	suspendedMeanwhile := func(context.Context, Attempt) (*Response, *SendError) {
 		clock.NoteSuspended(slept)
 		return nil, &SendError{Cause: errors.New("connection reset"), Sent: true}
 	}
 	defer clock.NoteSuspended(-slept)
-	response, _, backend := serve(t, routetable.KindSafe, false, 2*time.Second, suspendedMeanwhile, whole(200, "ok"))
-	if response.StatusCode != http.StatusGatewayTimeout || backend.count() != 1 {
-		t.Errorf("status %d after %d attempts", response.StatusCode, backend.count())
+	response, _, backend := serve(t, routetable.KindSafe, false, 2*time.Second, suspendedMeanwhile, respondWith(200, "ok"))
+	if response.StatusCode != http.StatusGatewayTimeout || backend.attemptCount() != 1 {
+		t.Errorf("status %d after %d attempts", response.StatusCode, backend.attemptCount())
 	}
 }
--- a/internal/gateway/suspicion.go
+++ b/internal/gateway/suspicion.go
@@ -13,78 +13,79 @@
 	"dalehook/internal/quarantine"
 )
 
-// reasonHeld is why a request that crashes servers is not sent to any.
+// reasonHeld is the reason of requests that are refused because they crash servers.
 const reasonHeld = "held: servers ended under it"
 
-// fingerprint returns the request's, which is made once, and only where it is needed.
+// fingerprint returns the request's fingerprint, which is computed on first use.
 func (c *call) fingerprint() quarantine.Fingerprint {
-	c.fingerprintOnce.Do(func() { c.fingerprintMade = c.request.Fingerprint() })
-	return c.fingerprintMade
+	c.fingerprintOnce.Do(func() { c.fingerprintValue = c.request.Fingerprint() })
+	return c.fingerprintValue
 }
 
-// suspicion returns what is known against the request.
+// suspicion returns the current suspicion of the request.
 func (c *call) suspicion() quarantine.Suspicion {
-	tracker := c.gateway.options.Quarantine
+	tracker := c.gateway.options.Tracker
 	if !tracker.Active() {
 		return quarantine.Suspicion{}
 	}
 	return tracker.Suspicion(c.fingerprint())
 }
 
-// settledSuspicion is suspicion once it is known whether a server has just ended, where one more
-// would have the request held. It protects one server, for a wait of a fraction of a second.
-func (c *call) settledSuspicion(ctx context.Context) quarantine.Suspicion {
-	known := c.suspicion()
-	if !known.Settling {
-		return known
+// suspicionAfterProbes is suspicion, but waits for pending probes if one more end would have the
+// request held. A wait of a fraction of a second saves one server.
+func (c *call) suspicionAfterProbes(ctx context.Context) quarantine.Suspicion {
+	suspicion := c.suspicion()
+	if !suspicion.Settling {
+		return suspicion
 	}
-	c.gateway.options.Quarantine.Settle(ctx, c.fingerprint())
+	c.gateway.options.Tracker.Settle(ctx, c.fingerprint())
 	return c.suspicion()
 }
 
-// tryAlone says whether an unclear request may run now, and notes that it does.
-func (c *call) tryAlone() bool {
-	c.alone = c.gateway.options.Quarantine.TryAlone(c.fingerprint())
-	return c.alone
+// beginTrial reports whether an ambiguous request may run now, and marks it as running.
+func (c *call) beginTrial() bool {
+	c.inTrial = c.gateway.options.Tracker.TryAlone(c.fingerprint())
+	return c.inTrial
 }
 
-// endTry ends the run of an unclear request.
-func (c *call) endTry() {
-	if c.alone {
-		c.alone = false
-		c.gateway.options.Quarantine.EndTry(c.fingerprint())
+// endTrial ends the trial of an ambiguous request.
+func (c *call) endTrial() {
+	if c.inTrial {
+		c.inTrial = false
+		c.gateway.options.Tracker.EndTry(c.fingerprint())
 	}
 }
 
-// choose returns the server for the next attempt, or nil. A request under which servers ended goes to the one
-// that all nodes choose for it, so that tries at several nodes end one server and not several.
-func (c *call) choose(servers []*directory.Server, known quarantine.Suspicion) *directory.Server {
+// chooseServer returns the server for the next attempt, or nil. All nodes choose the same server
+// for a suspected request, so that attempts at several nodes crash one server rather than several.
+func (c *call) chooseServer(servers []*directory.Server, suspicion quarantine.Suspicion) *directory.Server {
 	from := candidates{service: c.service, servers: servers, tried: c.tried, warmUpRate: c.table.WarmUpRate(c.service)}
-	if known.Ends == 0 {
+	if suspicion.Ends == 0 {
 		return c.gateway.balancer.choose(clock.Now(), from)
 	}
-	from.servers = rank(c.fingerprint(), known.Ends, servers)
-	return c.gateway.balancer.chooseFirst(clock.Now(), from)
+	from.servers = rankForSuspect(c.fingerprint(), suspicion.Ends, servers)
+	return c.gateway.balancer.chooseInOrder(clock.Now(), from)
 }
 
-// rank orders servers for a suspected request by rendezvous hashing, in the same way at all nodes. Two
-// requests that one server ended under are ranked apart by chance, and anew after each end: what
-// ends the next server is hardly both of them.
-func rank(fingerprint quarantine.Fingerprint, ends int, servers []*directory.Server) []*directory.Server {
-	return rendezvous(fingerprint.String()+strconv.Itoa(ends), servers)
+// rankForSuspect orders servers for a suspected request by rendezvous hashing, equally at all
+// nodes. The number of ends is part of the key: two requests that ran on the same crashed server
+// get different servers next, so that the next end is unlikely to implicate both.
+func rankForSuspect(fingerprint quarantine.Fingerprint, ends int, servers []*directory.Server) []*directory.Server {
+	return rankByRendezvous(fingerprint.String()+strconv.Itoa(ends), servers)
 }
 
-// noteEnd tells the quarantine how an attempt ended. Broken says that the server, and not this
-// node or the caller, broke it off after it had been sent, progressed that it had made events.
-func (c *call) noteEnd(server *directory.Server, began time.Time, broken error, progressed, answered bool) {
-	tracker := c.gateway.options.Quarantine
+// reportToTracker reports the end of an attempt to the tracker. breakErr is set if the server, and
+// not this node or the caller, broke the connection after the request had been sent; progressed
+// says that the server had produced events.
+func (c *call) reportToTracker(server *directory.Server, start time.Time, breakErr error, progressed, answered bool) {
+	tracker := c.gateway.options.Tracker
 	switch {
-	case broken != nil:
-		tracker.Broke(c.fingerprint(), *server, crashwatch.UnderWay{Began: began, Progressed: progressed})
-		c.gateway.options.Logger.Info("attempt broken", zap.String("request", c.request.ID),
+	case breakErr != nil:
+		tracker.Broke(c.fingerprint(), *server, crashwatch.UnderWay{Began: start, Progressed: progressed})
+		c.gateway.options.Logger.Info("connection broken by server", zap.String("request", c.request.ID),
 			zap.String("fingerprint", c.fingerprint().Short()), zap.String("server", server.ID), zap.Int64("born", server.Born),
-			zap.String("service", c.service), zap.Duration("took", clock.Since(began)), zap.Error(broken))
+			zap.String("service", c.service), zap.Duration("took", clock.Since(start)), zap.Error(breakErr))
 	case answered && tracker.Active():
-		tracker.Answered(c.fingerprint(), server.Incarnation(), began)
+		tracker.Answered(c.fingerprint(), server.Incarnation(), start)
 	}
 }
--- a/internal/gateway/types.go
+++ b/internal/gateway/types.go
@@ -1,5 +1,5 @@
-// Package gateway serves single requests: it finds the route, chooses servers,
-// bounds attempts and time, and gives the caller one final answer.
+// Package gateway serves single requests: it selects servers, makes attempts within a deadline, and
+// gives the caller one final response.
 package gateway
 
 import (
@@ -13,7 +13,7 @@
 	"dalehook/internal/routetable"
 )
 
-// Request is one request of a caller, read whole.
+// Request is a fully read request of a caller.
 type Request struct {
 	ID     string
 	Method string
@@ -23,58 +23,58 @@
 	Host   string
 	Header http.Header
 	Body   []byte
-	// Caller is on whose behalf the request runs.
+	// Caller identifies the tenant and priority of the request.
 	Caller routetable.Caller
 	// Received is when the request had been read.
 	Received time.Time
-	// Deadline is when the caller stops waiting; zero when it did not say.
+	// Deadline is when the caller stops waiting; zero if not stated.
 	Deadline time.Time
-	// LastEventID is the last event of a stream that the caller has.
+	// LastEventID is the id of the last stream event that the caller received.
 	LastEventID string
 }
 
-// Fingerprint tells the request from others, but not from its own repeats.
+// Fingerprint identifies the request's content; it is the same for each repetition.
 func (r *Request) Fingerprint() quarantine.Fingerprint {
 	return quarantine.FingerprintOf(quarantine.Identity{
 		Caller: r.Caller.Tenant, Method: r.Method, Host: r.Host, Target: r.Target, Body: r.Body,
 	})
 }
 
-// Attempt is a request on its way to one server.
+// Attempt is a request sent to one server.
 type Attempt struct {
 	Request *Request
 	Server  *directory.Server
-	// Left is the time that the server may take.
-	Left time.Duration
-	// LastEventID overrides the request's when set.
+	// Timeout is the time that the server may take.
+	Timeout time.Duration
+	// LastEventID overrides the request's if set.
 	LastEventID string
 }
 
-// Load is what a server tells of its load.
+// Load is the load that a server reports.
 type Load struct {
 	Running, Waiting, Slots int
 }
 
-// Answer is the head of a server's answer, and its body to read.
-type Answer struct {
+// Response is the header of a server's response, and its body to read.
+type Response struct {
 	Status int
 	// Header holds the end-to-end headers.
 	Header http.Header
 	Body   io.ReadCloser
-	// Length is the body's length in bytes, -1 when the server did not state it.
+	// Length is the body's length in bytes, -1 if the server did not state it.
 	Length int64
-	// NotExecuted says that the server did not run the request and never will.
+	// NotExecuted says that the server did not execute the request and never will.
 	NotExecuted bool
-	// Load is nil when the server did not tell it.
+	// Load is nil if the server did not report it.
 	Load *Load
-	// Signature is the server's mark on the answer; a success always has one.
+	// Signature is the server's signature of the response; every success has one.
 	Signature string
 }
 
-// SendError is an attempt that brought no answer.
+// SendError is the error of an attempt that gave no response.
 type SendError struct {
 	Cause error
-	// Sent says that the server may have run the request.
+	// Sent says that the server may have executed the request.
 	Sent bool
 }
 
@@ -86,7 +86,7 @@
 
 // Backend sends attempts to servers.
 type Backend interface {
-	// Send returns the head of the server's answer. Closing the answer's body
-	// before its end, or ending the context, closes the connection.
-	Send(ctx context.Context, attempt Attempt) (*Answer, *SendError)
+	// Send returns the header of the server's response. Closing the response body before its end,
+	// or cancelling the context, closes the connection.
+	Send(ctx context.Context, attempt Attempt) (*Response, *SendError)
 }
--- a/internal/gateway/warmup_test.go
+++ b/internal/gateway/warmup_test.go
@@ -8,9 +8,8 @@
 	"dalehook/internal/directory"
 )
 
-// Servers that have just started are sent requests only where no warm one is left, and no more in
-// any second than they bear.
-func TestServersThatWarmUpComeLast(t *testing.T) {
+// Warming servers get requests only if no warm one is left, and no more per second than their rate.
+func TestWarmingServersAreChosenLast(t *testing.T) {
 	const rate = 5.0
 	now := time.Unix(1000, 0)
 	warming := &directory.Server{ID: "a", Service: "s", Zone: "z", Slots: 4, WarmAt: now.Add(3 * time.Second)}
@@ -18,7 +17,7 @@
 	b := newBalancer("n", "z")
 	for range 9 {
 		if got := b.choose(now, candidates{servers: []*directory.Server{warming, warm}, warmUpRate: rate}); got != warm {
-			t.Fatalf("a warm server is there, and %v was chosen", got)
+			t.Fatalf("chose %v although a warm server is available", got)
 		}
 	}
 	sent := 0
@@ -29,15 +28,15 @@
 		}
 	}
 	if sent != int(rate) {
-		t.Errorf("%d requests within 0.9 s, where %v are borne in a second", sent, rate)
+		t.Errorf("%d requests within 0.9 s at a rate of %v per second", sent, rate)
 	}
-	if b.chooseFirst(now, candidates{servers: []*directory.Server{warming}, warmUpRate: rate}) != nil {
-		t.Error("a suspected request was sent beyond the rate")
+	if b.chooseInOrder(now, candidates{servers: []*directory.Server{warming}, warmUpRate: rate}) != nil {
+		t.Error("a suspected request exceeded the rate")
 	}
 }
 
-// All servers of a service warm up at once after a release: what they bear together is sent.
-func TestAServiceThatWarmsUpBearsTheRateOfItsServers(t *testing.T) {
+// After a release all servers of a service warm up at once: they take their combined rate.
+func TestWarmingServiceTakesCombinedRateOfServers(t *testing.T) {
 	const rate = 5.0
 	now := time.Unix(1000, 0)
 	var servers []*directory.Server
@@ -52,6 +51,6 @@
 		}
 	}
 	if sent != 4*int(rate) {
-		t.Errorf("%d requests within 0.8 s, where %v are borne in a second", sent, 4*rate)
+		t.Errorf("%d requests within 0.8 s at a rate of %v per second", sent, 4*rate)
 	}
 }
