--- a/cmd/dalehook-node/quarantine.go
+++ b/cmd/dalehook-node/quarantine.go
@@ -65,7 +65,7 @@
 }
 
 func (c *quarantineCommand) list(ctx context.Context) error {
-	cases, err := crashwatch.AskCases(ctx, c.node)
+	cases, err := crashwatch.FetchCases(ctx, c.node)
 	if err != nil {
 		return err
 	}
@@ -92,7 +92,7 @@
 	if !ok {
 		return fmt.Errorf("%q is no fingerprint", c.release)
 	}
-	known, err := crashwatch.AskRelease(ctx, c.node, fingerprint)
+	known, err := crashwatch.RequestRelease(ctx, c.node, fingerprint)
 	if err != nil {
 		return err
 	}
--- a/internal/coordinator/output.go
+++ b/internal/coordinator/output.go
@@ -101,12 +101,12 @@
 	fingerprint := scheduler.Fingerprint(start.Tenant, start.Host, start.Item)
 	switch reason {
 	case scheduler.EndBroken:
-		tracker.Broke(fingerprint, directory.Server{
+		tracker.RecordBreak(fingerprint, directory.Server{
 			ID: start.Server.ID, Born: start.Server.Born, Address: start.Server.Address, Service: start.Server.Service,
-		}, crashwatch.UnderWay{Began: began, Progressed: progressed, HereOnly: true})
+		}, crashwatch.InFlightRequest{SentAt: began, Progressed: progressed, LocalOnly: true})
 	case scheduler.EndCompleted, scheduler.EndFailed, scheduler.EndImpossible:
 		if tracker.Active() {
-			tracker.Answered(fingerprint, directory.Incarnation{ID: start.Server.ID, Born: start.Server.Born}, began)
+			tracker.RecordResponse(fingerprint, directory.Incarnation{ID: start.Server.ID, Born: start.Server.Born}, began)
 		}
 	}
 }
--- a/internal/crashwatch/record.go
+++ b/internal/crashwatch/record.go
@@ -14,65 +14,66 @@
 	"dalehook/internal/store"
 )
 
-// endRecord is the value of an end's record in the store. The record's key names the request
-// and the server, so that nodes that saw the same end write one key, and an end is taken back
-// by removing it.
+// endRecord is the value of an end's record in the store. The key names the request and the server,
+// so that nodes that saw the same end write the same key, and an end is retracted by removing the
+// key.
 type endRecord struct {
-	// At is the time of day at which the end was seen, in Unix milliseconds, by the clock of the machine that saw
-	// it. Nodes of earlier builds compare it with their own; this one tells it for them alone.
+	// At is the time of day of the end in Unix milliseconds, by the clock of the machine that saw
+	// it. Only older builds read it, and compare it with their own clock.
 	At int64
-	// Age is how long before the record was sent the end had been seen, in milliseconds. Builds that do
-	// not tell it stand for 0: whoever reads a record knows that the end came before.
+	// Age is the time from the end to the sending of the record, in milliseconds; 0 in records of
+	// older builds, since the end precedes any read of its record.
 	Age int64
-	// Node is the process that saw it.
+	// Node is the process that saw the end.
 	Node string
-	// Progressed says that the request had made events.
+	// Progressed says that the request had produced events.
 	Progressed bool
 }
 
-// finding is what a node tells the others: that a server ended under a request, or that this no longer counts.
+// finding is what a node shares with the others: the end of a server under a request, or its
+// retraction.
 type finding struct {
 	end       quarantine.End
-	takenBack bool
+	retracted bool
 }
 
 // sender is the node that writes a record, with its clocks at that time.
 type sender struct {
 	node string
-	// now is by package clock.
+	// now is a time of package clock.
 	now, timeOfDay time.Time
 }
 
-// The separators of a record's key. A fingerprint is hexadecimal, a time of birth decimal.
+// Separators in a record's key. A fingerprint is hexadecimal, the birth time decimal.
 const (
-	keyServer = "@"
-	keyBorn   = "#"
+	serverSeparator = "@"
+	bornSeparator   = "#"
 )
 
 func recordKey(fingerprint quarantine.Fingerprint, server directory.Incarnation) string {
-	return fingerprint.String() + keyServer + server.ID + keyBorn + strconv.FormatInt(server.Born, 10)
+	return fingerprint.String() + serverSeparator + server.ID + bornSeparator + strconv.FormatInt(server.Born, 10)
 }
 
 func parseKey(key string) (fingerprint quarantine.Fingerprint, server directory.Incarnation, ok bool) {
-	digits, rest, found := strings.Cut(key, keyServer)
-	at := strings.LastIndex(rest, keyBorn)
+	digits, rest, found := strings.Cut(key, serverSeparator)
+	at := strings.LastIndex(rest, bornSeparator)
 	if !found || at < 0 {
 		return quarantine.Fingerprint{}, directory.Incarnation{}, false
 	}
-	born, err := strconv.ParseInt(rest[at+len(keyBorn):], 10, 64)
+	born, err := strconv.ParseInt(rest[at+len(bornSeparator):], 10, 64)
 	fingerprint, valid := quarantine.ParseFingerprint(digits)
 	return fingerprint, directory.Incarnation{ID: rest[:at], Born: born}, valid && err == nil
 }
 
 // encodeFinding returns the record of a finding.
-func encodeFinding(found finding, by sender) (store.Record, error) {
+func encodeFinding(found finding, sender sender) (store.Record, error) {
 	end := found.end
 	record := store.Record{Key: recordKey(end.Fingerprint, end.Server)}
-	if found.takenBack {
+	if found.retracted {
 		return record, nil
 	}
-	age := by.now.Sub(end.At)
-	value := endRecord{At: by.timeOfDay.Add(-age).UnixMilli(), Age: age.Milliseconds(), Node: by.node, Progressed: end.Progressed}
+	age := sender.now.Sub(end.At)
+	value := endRecord{At: sender.timeOfDay.Add(-age).UnixMilli(), Age: age.Milliseconds(), Node: sender.node, Progressed: end.Progressed}
 	var encoded bytes.Buffer
 	if err := gob.NewEncoder(&encoded).Encode(value); err != nil {
 		return store.Record{}, eris.Wrapf(err, "encode the end of server %s", end.Server.ID)
@@ -81,33 +82,33 @@
 	return record, nil
 }
 
-// A verdict is the record of an end that names no server: it says that the request's proof stands
-// until it is cleared.
-func isVerdict(end quarantine.End) bool { return end.Server == directory.Incarnation{} }
+// isConfirmation reports whether an end is a confirmation: one without a server, which says that
+// the proof against the request stands until it is cleared.
+func isConfirmation(end quarantine.End) bool { return end.Server == directory.Incarnation{} }
 
-// verdictOn returns the verdict on a request.
-func verdictOn(fingerprint quarantine.Fingerprint) quarantine.End {
+// confirmationOf returns the confirmation for a request.
+func confirmationOf(fingerprint quarantine.Fingerprint) quarantine.End {
 	return quarantine.End{Fingerprint: fingerprint}
 }
 
-// oldestTold bounds the age of an end that is read: by then it is long forgotten.
-const oldestTold = time.Hour
+// maxReportedAge bounds the age of an end that is read; ends are forgotten long before.
+const maxReportedAge = time.Hour
 
-// decodeFinding reads a record at a time by package clock.
+// decodeFinding decodes a record; now is a time of package clock.
 func decodeFinding(now time.Time, record store.Record) (finding, error) {
 	fingerprint, server, ok := parseKey(record.Key)
 	if !ok {
-		return finding{}, eris.Errorf("key %q names no end of a server", record.Key)
+		return finding{}, eris.Errorf("malformed key %q", record.Key)
 	}
 	end := quarantine.End{Fingerprint: fingerprint, Server: server}
 	if len(record.Value) == 0 {
-		return finding{end: end, takenBack: true}, nil
+		return finding{end: end, retracted: true}, nil
 	}
 	var decoded endRecord
 	if err := gob.NewDecoder(bytes.NewReader(record.Value)).Decode(&decoded); err != nil {
 		return finding{}, eris.Wrapf(err, "decode the end of server %s", server.ID)
 	}
-	age := min(max(decoded.Age, 0), oldestTold.Milliseconds())
+	age := min(max(decoded.Age, 0), maxReportedAge.Milliseconds())
 	end.At, end.Progressed = now.Add(-time.Duration(age)*time.Millisecond), decoded.Progressed
 	return finding{end: end}, nil
 }
--- a/internal/crashwatch/service.go
+++ b/internal/crashwatch/service.go
@@ -10,54 +10,54 @@
 	"dalehook/internal/quarantine"
 )
 
-// The calls of the service, which operators' commands make.
+// RPC methods, which operators' commands call.
 const (
 	serviceName   = "Quarantine"
 	methodCases   = serviceName + ".Cases"
 	methodRelease = serviceName + ".Release"
 )
 
-// Nothing is the argument of a call that needs none.
-type Nothing struct{}
+// Empty is the argument of calls without parameters.
+type Empty struct{}
 
-// CaseList is the answer to a question for the requests that servers ended under.
-type CaseList struct{ Cases []quarantine.Case }
+// CasesReply lists the requests under which servers ended.
+type CasesReply struct{ Cases []quarantine.Case }
 
-// ReleaseRequest names the request that is to run again.
+// ReleaseRequest names the request to release.
 type ReleaseRequest struct{ Fingerprint quarantine.Fingerprint }
 
-// Released says whether anything was known against it.
-type Released struct{ Known bool }
+// ReleaseReply says whether anything was known against the request.
+type ReleaseReply struct{ Known bool }
 
 type service struct{ tracker *Tracker }
 
-// Register has a server answer operators' calls.
+// Register registers the RPC service on a server.
 func Register(server *rpc.Server, tracker *Tracker) error {
-	return eris.Wrap(server.RegisterName(serviceName, &service{tracker: tracker}), "register the quarantine")
+	return eris.Wrap(server.RegisterName(serviceName, &service{tracker: tracker}), "register the quarantine service")
 }
 
-// Cases lists the requests that servers ended under.
-func (s *service) Cases(_ Nothing, list *CaseList) error {
-	list.Cases = s.tracker.Cases()
+// Cases lists the requests under which servers ended.
+func (s *service) Cases(_ Empty, reply *CasesReply) error {
+	reply.Cases = s.tracker.Cases()
 	return nil
 }
 
 // Release lets a request run again.
-func (s *service) Release(request ReleaseRequest, released *Released) error {
-	released.Known = s.tracker.Release(request.Fingerprint)
+func (s *service) Release(request ReleaseRequest, reply *ReleaseReply) error {
+	reply.Known = s.tracker.Release(request.Fingerprint)
 	return nil
 }
 
-// AskCases lists what the node at an address, IP:PORT, knows.
-func AskCases(ctx context.Context, address string) ([]quarantine.Case, error) {
-	var list CaseList
-	err := nodecall.Call(ctx, address, methodCases, Nothing{}, &list)
-	return list.Cases, err
+// FetchCases returns the cases known to the node at address (IP:PORT).
+func FetchCases(ctx context.Context, address string) ([]quarantine.Case, error) {
+	var reply CasesReply
+	err := nodecall.Call(ctx, address, methodCases, Empty{}, &reply)
+	return reply.Cases, err
 }
 
-// AskRelease has the node at an address let a request run again, at all nodes.
-func AskRelease(ctx context.Context, address string, fingerprint quarantine.Fingerprint) (known bool, err error) {
-	var released Released
-	err = nodecall.Call(ctx, address, methodRelease, ReleaseRequest{Fingerprint: fingerprint}, &released)
-	return released.Known, err
+// RequestRelease has the node at an address release a request, at all nodes.
+func RequestRelease(ctx context.Context, address string, fingerprint quarantine.Fingerprint) (known bool, err error) {
+	var reply ReleaseReply
+	err = nodecall.Call(ctx, address, methodRelease, ReleaseRequest{Fingerprint: fingerprint}, &reply)
+	return reply.Known, err
 }
--- a/internal/crashwatch/share.go
+++ b/internal/crashwatch/share.go
@@ -16,103 +16,104 @@
 	"dalehook/internal/store"
 )
 
-// Relay reads and writes the topic by way of other nodes.
+// Relay reads and writes the topic through other nodes.
 type Relay struct {
-	// Read reads from an offset on; below 0 it reads the newest records. It may be nil.
+	// Read reads from an offset; below 0 it reads the newest records. It may be nil.
 	Read func(ctx context.Context, from int64) (follow.Relay, error)
 	// Put adds records. It may be nil.
 	Put func(ctx context.Context, records []store.Record) error
 }
 
-// The sharing of what nodes find.
+// Timing and limits of sharing findings.
 const (
-	// readPace is the shortest time between two reads of what other nodes found. A crash is to
-	// be known everywhere within two seconds.
-	readPace = 20 * time.Millisecond
-	// readWait is how long the store may hold a read that finds nothing. A connection that has
-	// gone silent is noticed that much later.
-	readWait = time.Second
-	// gatherTime is how long records are gathered for one call.
-	gatherTime = 10 * time.Millisecond
-	// putTimeout bounds a call, relayedPutTimeout one by way of another node.
+	// minReadInterval is the shortest time between two reads of other nodes' findings. A crash has
+	// to be known to all nodes within two seconds.
+	minReadInterval = 20 * time.Millisecond
+	// longPollWait is how long the store may hold a read that finds nothing. A dead connection is
+	// noticed that much later.
+	longPollWait = time.Second
+	// batchDelay is how long records are collected for one write.
+	batchDelay = 10 * time.Millisecond
+	// putTimeout bounds a direct write, relayedPutTimeout one through another node.
 	putTimeout        = 500 * time.Millisecond
 	relayedPutTimeout = 800 * time.Millisecond
-	putRetry          = 150 * time.Millisecond
-	// mostUnsent bounds the records that wait for the store; the oldest are dropped.
-	mostUnsent = 4096
-	// mostAtOnce bounds the records of one call, some 150 bytes each.
-	mostAtOnce = 256
+	putRetryDelay     = 150 * time.Millisecond
+	// maxUnsent bounds the records that wait for the store; the oldest are dropped.
+	maxUnsent = 4096
+	// maxRecordsPerPut bounds the records of one write, at about 150 bytes each.
+	maxRecordsPerPut = 256
 )
 
-// follow learns what other nodes found.
+// follow reads the findings of other nodes until the context ends.
 func (t *Tracker) follow(ctx context.Context) {
 	follow.Keyed(ctx, follow.KeyedOptions{
-		Log: t.options.Log, Topic: store.TopicQuarantine, Pace: readPace, Wait: readWait, Large: true, Logger: t.options.Logger,
-		Replace: t.replace, Change: t.change, Read: func(int64, bool, time.Time) {}, Relayed: t.options.Relay.Read,
+		Log: t.options.Log, Topic: store.TopicQuarantine, Pace: minReadInterval, Wait: longPollWait, Large: true, Logger: t.options.Logger,
+		Replace: t.replaceAll, Change: t.applyChanges, Read: func(int64, bool, time.Time) {}, Relayed: t.options.Relay.Read,
 	})
 }
 
-// Loaded says whether what other nodes found has been read.
+// Loaded reports whether the findings of other nodes have been read once.
 func (t *Tracker) Loaded() bool { return t.loaded.Load() }
 
-// replace takes all that is known. What this node found and could not write yet stays.
-func (t *Tracker) replace(records []store.Record) {
-	tidies := t.options.Tidies()
+// replaceAll rebuilds the ledger from all records. Findings of this node that are not written yet
+// are kept.
+func (t *Tracker) replaceAll(records []store.Record) {
+	isCleaner := t.options.IsCleaner()
 	now := clock.Now()
 	t.mutex.Lock()
 	before := t.ledger
 	t.ledger = quarantine.NewLedger(t.options.Node)
-	clear(t.unshared)
-	t.readLocked(now, records)
+	clear(t.localOnly)
+	t.applyRecordsLocked(now, records)
 	for _, unsent := range t.unsent {
-		t.applyLocked(unsent)
+		t.applyFindingLocked(unsent)
 	}
 	t.ledger.TakeTimes(before)
-	t.forgetLocked(now, tidies)
+	t.expireLocked(now, isCleaner)
 	t.updateLocked()
 	t.mutex.Unlock()
 	t.loaded.Store(true)
 	t.signal()
 }
 
-func (t *Tracker) change(records []store.Record) {
+func (t *Tracker) applyChanges(records []store.Record) {
 	now := clock.Now()
 	t.mutex.Lock()
-	t.readLocked(now, records)
+	t.applyRecordsLocked(now, records)
 	t.updateLocked()
 	t.mutex.Unlock()
 	t.signal()
 }
 
-// readLocked takes records that were read at a time.
-func (t *Tracker) readLocked(now time.Time, records []store.Record) {
+// applyRecordsLocked applies records that were read at now.
+func (t *Tracker) applyRecordsLocked(now time.Time, records []store.Record) {
 	for _, record := range records {
 		read, err := decodeFinding(now, record)
 		if err != nil {
-			t.options.Logger.Error("record void", zap.Int64("offset", record.Offset), zap.Error(err))
+			t.options.Logger.Error("invalid record", zap.Int64("offset", record.Offset), zap.Error(err))
 			continue
 		}
-		t.applyLocked(read)
+		t.applyFindingLocked(read)
 	}
 }
 
-func (t *Tracker) applyLocked(found finding) {
+func (t *Tracker) applyFindingLocked(found finding) {
 	end := found.end
 	switch {
-	case isVerdict(end) && found.takenBack:
+	case isConfirmation(end) && found.retracted:
 		t.ledger.Unconfirm(end.Fingerprint)
-	case isVerdict(end):
+	case isConfirmation(end):
 		t.ledger.Confirm(end.Fingerprint)
-	case found.takenBack:
+	case found.retracted:
 		t.ledger.Remove(end.Fingerprint, end.Server)
 	default:
 		t.ledger.Add(end)
-		// The node that found what takes the place removes it from the store.
+		// The node whose finding caused the eviction removes the evicted ends from the store.
 		t.ledger.TakeEvicted()
 	}
 }
 
-// publish writes what this node finds to the store until the context ends.
+// publish writes this node's findings to the store until the context ends.
 func (t *Tracker) publish(ctx context.Context) {
 	outage := follow.Outage{Logger: t.options.Logger}
 	for {
@@ -121,7 +122,7 @@
 			return
 		case <-t.unsentWake:
 		}
-		if !pause.For(ctx, gatherTime) {
+		if !pause.For(ctx, batchDelay) {
 			return
 		}
 		t.publishUnsent(ctx, &outage)
@@ -134,23 +135,23 @@
 		err := t.put(ctx, t.encode(findings))
 		outage.Note(err, zap.Stringer("topic", store.TopicQuarantine), zap.Int("records", len(findings)))
 		if err == nil {
-			t.sent(len(findings))
+			t.removeSent(len(findings))
 			continue
 		}
-		if !pause.For(ctx, putRetry) {
+		if !pause.For(ctx, putRetryDelay) {
 			return
 		}
 	}
 }
 
-// encode returns the records of findings, with the ages that these have now.
+// encode returns the records of findings, with their current ages.
 func (t *Tracker) encode(findings []finding) []store.Record {
 	now, timeOfDay := clock.Now(), t.options.TimeOfDay()
 	records := make([]store.Record, 0, len(findings))
 	for _, found := range findings {
 		record, err := encodeFinding(found, sender{node: t.options.Node, now: now, timeOfDay: timeOfDay})
 		if err != nil {
-			t.options.Logger.Error("end of a server not shared", zap.String("server", found.end.Server.ID), zap.Error(err))
+			t.options.Logger.Error("server end not shared", zap.String("server", found.end.Server.ID), zap.Error(err))
 			continue
 		}
 		records = append(records, record)
@@ -158,25 +159,25 @@
 	return records
 }
 
-// nextUnsent returns what the next call is to write, the oldest first.
+// nextUnsent returns the findings for the next write, oldest first.
 func (t *Tracker) nextUnsent() []finding {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	if over := len(t.unsent) - mostUnsent; over > 0 {
-		t.options.Logger.Error("ends of servers not shared", zap.Int("records", over))
+	if over := len(t.unsent) - maxUnsent; over > 0 {
+		t.options.Logger.Error("server ends dropped before they were shared", zap.Int("records", over))
 		t.unsent = slices.Clone(t.unsent[over:])
 	}
-	return slices.Clone(t.unsent[:min(len(t.unsent), mostAtOnce)])
+	return slices.Clone(t.unsent[:min(len(t.unsent), maxRecordsPerPut)])
 }
 
-func (t *Tracker) sent(count int) {
+func (t *Tracker) removeSent(count int) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.unsent = slices.Clone(t.unsent[count:])
 }
 
-// put writes records, which do no harm where they are written twice. A store that turns this
-// node away may take them from another one.
+// put writes records; repeating a write is harmless. If the store refuses this node, the write goes
+// through another node.
 func (t *Tracker) put(ctx context.Context, records []store.Record) error {
 	call, cancel := context.WithTimeout(ctx, putTimeout)
 	defer cancel()
@@ -192,50 +193,50 @@
 	return nil
 }
 
-// addLocked puts a server's end to the account of requests, and has it written to the store where
-// other nodes are to know.
-func (t *Tracker) addLocked(server directory.Incarnation, requests map[quarantine.Fingerprint]UnderWay) (added []quarantine.Fingerprint) {
-	for fingerprint, underWay := range requests {
-		end := quarantine.End{Fingerprint: fingerprint, Server: server, At: clock.Now(), Progressed: underWay.Progressed}
+// addEndsLocked adds the end of a server to each request, and queues it for the store unless only
+// this node needs to know it.
+func (t *Tracker) addEndsLocked(server directory.Incarnation, requests map[quarantine.Fingerprint]InFlightRequest) (added []quarantine.Fingerprint) {
+	for fingerprint, request := range requests {
+		end := quarantine.End{Fingerprint: fingerprint, Server: server, At: clock.Now(), Progressed: request.Progressed}
 		first := !t.ledger.Knows(fingerprint)
 		if !t.ledger.Add(end) {
 			continue
 		}
-		t.unshareLocked(t.ledger.TakeEvicted())
+		t.retractLocked(t.ledger.TakeEvicted())
 		added = append(added, fingerprint)
 		switch {
-		case underWay.HereOnly && first:
-			t.unshared[fingerprint] = true
-		case t.unshared[fingerprint]:
-			delete(t.unshared, fingerprint)
-			t.shareLocked(t.ledger.Case(fingerprint).Ends...)
+		case request.LocalOnly && first:
+			t.localOnly[fingerprint] = true
+		case t.localOnly[fingerprint]:
+			delete(t.localOnly, fingerprint)
+			t.enqueueLocked(t.ledger.Case(fingerprint).Ends...)
 		default:
-			t.shareLocked(end)
+			t.enqueueLocked(end)
 		}
 	}
 	return added
 }
 
-// unshareLocked has ends removed from the store, but for those that were never written there.
-func (t *Tracker) unshareLocked(ends []quarantine.End) {
+// retractLocked removes ends from the store, except those that were never written.
+func (t *Tracker) retractLocked(ends []quarantine.End) {
 	for _, end := range ends {
-		if !t.unshared[end.Fingerprint] {
-			t.takeBackLocked(end)
+		if !t.localOnly[end.Fingerprint] {
+			t.enqueueRetractionLocked(end)
 		}
 	}
 	for _, end := range ends {
-		delete(t.unshared, end.Fingerprint)
+		delete(t.localOnly, end.Fingerprint)
 	}
 }
 
-// shareLocked has ends written to the store.
-func (t *Tracker) shareLocked(ends ...quarantine.End) {
+// enqueueLocked queues ends for the store.
+func (t *Tracker) enqueueLocked(ends ...quarantine.End) {
 	for _, end := range ends {
 		t.unsent = append(t.unsent, finding{end: end})
 	}
 }
 
-// takeBackLocked has an end taken back in the store.
-func (t *Tracker) takeBackLocked(end quarantine.End) {
-	t.unsent = append(t.unsent, finding{end: end, takenBack: true})
+// enqueueRetractionLocked queues the retraction of an end.
+func (t *Tracker) enqueueRetractionLocked(end quarantine.End) {
+	t.unsent = append(t.unsent, finding{end: end, retracted: true})
 }
--- a/internal/crashwatch/sweep.go
+++ b/internal/crashwatch/sweep.go
@@ -7,25 +7,25 @@
 	"dalehook/internal/quarantine"
 )
 
-// sweep drops what is no longer of use.
+// sweep drops expired state.
 func (t *Tracker) sweep(now time.Time) {
 	if !t.Active() {
 		return
 	}
-	tidies := t.options.Tidies()
+	isCleaner := t.options.IsCleaner()
 	t.mutex.Lock()
-	for _, broken := range t.breaks {
-		if now.Sub(broken.brokeAt) > listPatience {
-			t.dropLocked(broken)
+	for _, broken := range t.brokenServers {
+		if now.Sub(broken.firstBreakAt) > replacementTimeout {
+			t.stopWatchingLocked(broken)
 		}
 	}
 	for server, foundAt := range t.ended {
-		if now.Sub(foundAt) > endedFor {
+		if now.Sub(foundAt) > endedRetention {
 			delete(t.ended, server)
 		}
 	}
-	t.confirmLocked(now, tidies)
-	changed := t.forgetLocked(now, tidies) || t.ledger.HasUnclear()
+	t.confirmLocked(now, isCleaner)
+	changed := t.expireLocked(now, isCleaner) || t.ledger.HasUnclear()
 	t.updateLocked()
 	t.mutex.Unlock()
 	if changed {
@@ -33,29 +33,29 @@
 	}
 }
 
-// confirmAfter is how long a proof has to stand before later ends of other requests no longer count
-// against it: all nodes have told by then what they were running at the last end.
-const confirmAfter = time.Second
+// confirmDelay is how long a proof must stand before later ends of other requests no longer weaken
+// it: by then all nodes have reported what they were running at the last end.
+const confirmDelay = time.Second
 
-// confirmLocked confirms the proofs that have stood for a while. One node writes that to the store, for
-// nodes that start later.
-func (t *Tracker) confirmLocked(now time.Time, tidies bool) {
-	for fingerprint, since := range t.held {
-		if now.Sub(since) >= confirmAfter && t.ledger.Confirm(fingerprint) && tidies {
-			t.shareLocked(quarantine.End{Fingerprint: fingerprint, At: now})
+// confirmLocked confirms the proofs that have stood for confirmDelay. One node writes the
+// confirmations to the store, for nodes that start later.
+func (t *Tracker) confirmLocked(now time.Time, isCleaner bool) {
+	for fingerprint, since := range t.heldSince {
+		if now.Sub(since) >= confirmDelay && t.ledger.Confirm(fingerprint) && isCleaner {
+			t.enqueueLocked(quarantine.End{Fingerprint: fingerprint, At: now})
 		}
 	}
 }
 
-// forgetLocked drops the requests under which no server has ended for long.
-func (t *Tracker) forgetLocked(now time.Time, tidies bool) bool {
+// expireLocked drops the requests whose last end is older than the retention of the ledger.
+func (t *Tracker) expireLocked(now time.Time, isCleaner bool) bool {
 	expired := t.ledger.Expire(now)
-	if tidies {
-		t.unshareLocked(expired)
+	if isCleaner {
+		t.retractLocked(expired)
 		for _, end := range expired {
-			t.takeBackLocked(verdictOn(end.Fingerprint))
+			t.enqueueRetractionLocked(confirmationOf(end.Fingerprint))
 		}
 	}
-	maps.DeleteFunc(t.unshared, func(fingerprint quarantine.Fingerprint, _ bool) bool { return !t.ledger.Knows(fingerprint) })
+	maps.DeleteFunc(t.localOnly, func(fingerprint quarantine.Fingerprint, _ bool) bool { return !t.ledger.Knows(fingerprint) })
 	return len(expired) > 0
 }
--- a/internal/crashwatch/tracker.go
+++ b/internal/crashwatch/tracker.go
@@ -1,6 +1,6 @@
-// Package crashwatch finds out which servers ended under which requests: whether a server that
-// broke connections off has ended, by probes and by the list of servers. It shares that with the other
-// nodes by a topic of the store, and folds it into a quarantine.Ledger.
+// Package crashwatch detects which servers ended while running which requests. If a server breaks
+// connections, probes and the list of servers show whether it ended. Nodes share their findings in
+// a topic of the store and fold them into a quarantine.Ledger.
 package crashwatch
 
 import (
@@ -21,73 +21,74 @@
 
 // Options configure a Tracker.
 type Options struct {
-	// Node names this process, for the records that it writes.
+	// Node names this process in the records that it writes.
 	Node string
-	// Log is where nodes share what they found; nil keeps it at this node.
+	// Log is the store in which nodes share findings; nil keeps them on this node.
 	Log       store.Log
 	Directory *directory.Directory
 	Probe     Probe
 	Logger    *zap.Logger
-	// Relay reads and writes by way of other nodes while the store turns this one away.
+	// Relay reads and writes through other nodes while the store refuses this one.
 	Relay Relay
-	// Changed is told when what is known against requests has changed; it may be nil.
-	Changed func()
-	// Tidies says whether this node removes from the store what is forgotten: one of all nodes
-	// is enough. It may be nil.
-	Tidies func() bool
-	// Observer counts what the tracker finds; it may be nil.
+	// OnChange is called when a suspicion has changed; it may be nil.
+	OnChange func()
+	// IsCleaner reports whether this node removes expired records from the store; a single node
+	// suffices. It may be nil.
+	IsCleaner func() bool
+	// Observer receives the tracker's events; it may be nil.
 	Observer Observer
-	// TimeOfDay tells the machine's time of day; nil stands for that of package clock.
+	// TimeOfDay returns the machine's time of day; nil means that of package clock.
 	TimeOfDay func() time.Time
 }
 
-// Observer counts what a tracker finds.
+// Observer receives the events of a tracker, for metrics.
 type Observer interface {
-	// ObserveServerEnd takes the end of a server, by the evidence, and the number of requests
-	// that were under way there from this node.
+	// ObserveServerEnd records the end of a server, with the evidence and the number of this node's
+	// requests that were in flight there.
 	ObserveServerEnd(evidence string, requests int)
-	// ObserveHeld takes a request that is held from now on.
+	// ObserveHeld records that a request is held from now on.
 	ObserveHeld()
 }
 
-// Tracker finds out which servers ended under which requests, and shares it with the other
-// nodes. It may be used by several goroutines.
+// Tracker detects which servers ended under which requests, and shares that with the other nodes.
+// It is safe for concurrent use.
 type Tracker struct {
 	options Options
-	// loaded says that what other nodes found has been read.
+	// loaded says that the findings of other nodes have been read.
 	loaded atomic.Bool
-	// active says that something is known or to be settled, so that requests need fingerprints.
+	// active says that there are suspicions or pending probes, so that requests need fingerprints.
 	active atomic.Bool
 
 	mutex  sync.Mutex
 	ledger *quarantine.Ledger
-	// breaks are the servers that broke connections and may have ended.
-	breaks map[directory.Incarnation]*brokenServer
-	// ended are the lives of servers that have ended: what broke there is due to that.
+	// brokenServers broke connections and may have ended.
+	brokenServers map[directory.Incarnation]*brokenServer
+	// ended holds when the end of each recently ended incarnation was found: connections broken
+	// there are due to that end.
 	ended map[directory.Incarnation]time.Time
-	// unsent is what is to be written to the store.
+	// unsent are the findings to be written to the store.
 	unsent []finding
-	// unshared are the requests whose only end is known to this node alone.
-	unshared map[quarantine.Fingerprint]bool
-	// held are the requests that are proved to end servers, since when.
-	held map[quarantine.Fingerprint]time.Time
-	// alone are the unclear requests of which this node runs one.
-	alone map[quarantine.Fingerprint]bool
-	// wake is signalled when there is something to settle, unsentWake when there is something
-	// to write, changedWake when what is known has changed.
+	// localOnly are the requests whose only end is known to this node alone.
+	localOnly map[quarantine.Fingerprint]bool
+	// heldSince are the requests proven to crash servers, with the time at which that was found.
+	heldSince map[quarantine.Fingerprint]time.Time
+	// trials are the ambiguous requests that this node is running.
+	trials map[quarantine.Fingerprint]bool
+	// wake is signalled when servers may need probes, unsentWake when there are findings to write,
+	// changedWake when suspicions have changed.
 	wake, unsentWake, changedWake chan struct{}
 }
 
-// NewTracker returns a tracker that knows nothing. Without a probe it never learns anything.
+// NewTracker returns an empty tracker. Without a probe it detects nothing itself.
 func NewTracker(options Options) *Tracker {
 	if options.Logger == nil {
 		options.Logger = zap.NewNop()
 	}
-	if options.Changed == nil {
-		options.Changed = func() {}
+	if options.OnChange == nil {
+		options.OnChange = func() {}
 	}
-	if options.Tidies == nil {
-		options.Tidies = func() bool { return false }
+	if options.IsCleaner == nil {
+		options.IsCleaner = func() bool { return false }
 	}
 	if options.Observer == nil {
 		options.Observer = noObserver{}
@@ -97,8 +98,8 @@
 	}
 	return &Tracker{
 		options: options, ledger: quarantine.NewLedger(options.Node),
-		breaks: make(map[directory.Incarnation]*brokenServer), ended: make(map[directory.Incarnation]time.Time),
-		unshared: make(map[quarantine.Fingerprint]bool), held: make(map[quarantine.Fingerprint]time.Time), alone: make(map[quarantine.Fingerprint]bool), wake: make(chan struct{}, 1), unsentWake: make(chan struct{}, 1), changedWake: make(chan struct{}, 1),
+		brokenServers: make(map[directory.Incarnation]*brokenServer), ended: make(map[directory.Incarnation]time.Time),
+		localOnly: make(map[quarantine.Fingerprint]bool), heldSince: make(map[quarantine.Fingerprint]time.Time), trials: make(map[quarantine.Fingerprint]bool), wake: make(chan struct{}, 1), unsentWake: make(chan struct{}, 1), changedWake: make(chan struct{}, 1),
 	}
 }
 
@@ -107,11 +108,11 @@
 func (noObserver) ObserveServerEnd(string, int) {}
 func (noObserver) ObserveHeld()                 {}
 
-// Active says whether anything is known against any request. While it is false, which is nearly
-// always, no fingerprint is needed.
+// Active reports whether anything is known against any request. While it is false, which is the
+// normal state, requests need no fingerprints.
 func (t *Tracker) Active() bool { return t.active.Load() }
 
-// Suspicion returns what is known against a request.
+// Suspicion returns the suspicion of a request.
 func (t *Tracker) Suspicion(fingerprint quarantine.Fingerprint) quarantine.Suspicion {
 	if !t.Active() {
 		return quarantine.Suspicion{}
@@ -123,22 +124,22 @@
 
 func (t *Tracker) suspicionLocked(fingerprint quarantine.Fingerprint) quarantine.Suspicion {
 	known := t.ledger.Suspicion(clock.Now(), fingerprint)
-	known.Held = known.Held || known.Unclear && t.alone[fingerprint]
-	for _, broken := range t.breaks {
-		if broken.ran(fingerprint) && broken.settling() {
+	known.Held = known.Held || known.Unclear && t.trials[fingerprint]
+	for _, broken := range t.brokenServers {
+		if broken.wasRunning(fingerprint) && broken.isProbing() {
 			known = known.WithUnsettled()
 		}
 	}
 	return known
 }
 
-// Suspicions returns what is known against all requests that are suspected.
+// Suspicions returns the suspicions of all suspected requests.
 func (t *Tracker) Suspicions() map[quarantine.Fingerprint]quarantine.Suspicion {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	all := t.ledger.Suspicions(clock.Now())
-	for _, broken := range t.breaks {
-		if !broken.settling() {
+	for _, broken := range t.brokenServers {
+		if !broken.isProbing() {
 			continue
 		}
 		for fingerprint := range broken.requests {
@@ -148,75 +149,76 @@
 	return all
 }
 
-// TryAlone says whether this node may run an unclear request now: one at a time. Whoever is told so
-// calls EndTry afterwards.
-func (t *Tracker) TryAlone(fingerprint quarantine.Fingerprint) bool {
+// BeginTrial reports whether this node may run an ambiguous request now: one run at a time. If
+// true, the caller must call EndTrial afterwards.
+func (t *Tracker) BeginTrial(fingerprint quarantine.Fingerprint) bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	if t.alone[fingerprint] {
+	if t.trials[fingerprint] {
 		return false
 	}
-	t.alone[fingerprint] = true
+	t.trials[fingerprint] = true
 	return true
 }
 
-// EndTry lets the next run of an unclear request begin.
-func (t *Tracker) EndTry(fingerprint quarantine.Fingerprint) {
+// EndTrial allows the next run of an ambiguous request.
+func (t *Tracker) EndTrial(fingerprint quarantine.Fingerprint) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	delete(t.alone, fingerprint)
+	delete(t.trials, fingerprint)
 }
 
-// HoldEnds returns when the hold of a request ends by itself, by package clock.
-func (t *Tracker) HoldEnds(fingerprint quarantine.Fingerprint) time.Time {
+// HoldExpiry returns when the hold of a request expires, by package clock.
+func (t *Tracker) HoldExpiry(fingerprint quarantine.Fingerprint) time.Time {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return t.ledger.HoldEnds(fingerprint)
 }
 
-// UnderWay is what is known of a request that is under way at a server.
-type UnderWay struct {
-	// Began is when it was sent, by package clock.
-	Began time.Time
-	// Progressed says that the request has made events there.
+// InFlightRequest describes a request in flight at a server.
+type InFlightRequest struct {
+	// SentAt is when it was sent, by package clock.
+	SentAt time.Time
+	// Progressed says that the request has produced events there.
 	Progressed bool
-	// HereOnly says that no other node sends the request to servers. Its first end is not shared then:
-	// a crash implicates all that an engine runs, and nearly all of it is cleared by its next run.
-	HereOnly bool
+	// LocalOnly says that no other node sends the request to servers. Its first end is not shared:
+	// a crash implicates everything that an engine runs, and nearly all of it is cleared by its
+	// next run.
+	LocalOnly bool
 }
 
-// Broke takes that a server broke the connection of a request that had been sent to it.
-func (t *Tracker) Broke(fingerprint quarantine.Fingerprint, server directory.Server, underWay UnderWay) {
-	if t.options.Probe == nil || t.isLeaving(server) {
+// RecordBreak records that a server broke the connection of a request sent to it.
+func (t *Tracker) RecordBreak(fingerprint quarantine.Fingerprint, server directory.Server, request InFlightRequest) {
+	if t.options.Probe == nil || t.isShutdownPlanned(server) {
 		return
 	}
 	t.mutex.Lock()
-	at := t.lifeLocked(server.Incarnation(), underWay.Began)
-	if _, over := t.ended[at]; over {
-		t.addLocked(at, map[quarantine.Fingerprint]UnderWay{fingerprint: underWay})
-	} else if broken := t.noteBreakLocked(fingerprint, server, at, underWay); replaced(t.options.Directory.Snapshot(), broken) {
-		t.endLocked(broken, evidenceReplaced)
+	incarnation := t.incarnationAtLocked(server.Incarnation(), request.SentAt)
+	if _, ended := t.ended[incarnation]; ended {
+		t.addEndsLocked(incarnation, map[quarantine.Fingerprint]InFlightRequest{fingerprint: request})
+	} else if broken := t.recordBreakLocked(fingerprint, server, incarnation, request); isReplaced(t.options.Directory.Snapshot(), broken) {
+		t.recordServerEndLocked(broken, evidenceReplaced)
 	}
 	t.updateLocked()
-	waits := t.suspicionLocked(fingerprint).Settling
+	probing := t.suspicionLocked(fingerprint).Settling
 	t.mutex.Unlock()
 	t.signal()
-	if waits {
-		// Whoever would run the request next is to know before.
-		t.options.Changed()
+	if probing {
+		// The next run of the request must not begin before the probes are known to be pending.
+		t.options.OnChange()
 	}
 }
 
-// Answered takes a whole answer of a server to a request that was sent at began, so that
-// neither did the request crash the server, nor has the server ended before.
-func (t *Tracker) Answered(fingerprint quarantine.Fingerprint, server directory.Incarnation, began time.Time) {
+// RecordResponse records a complete response to a request sent at sentAt. It shows that the request
+// did not crash the server, and that the server had not ended at sentAt.
+func (t *Tracker) RecordResponse(fingerprint quarantine.Fingerprint, server directory.Incarnation, sentAt time.Time) {
 	t.mutex.Lock()
-	broken := t.breaks[t.lifeLocked(server, began)]
-	lives := broken != nil && began.After(broken.brokeAt)
-	if lives {
-		t.dropLocked(broken)
+	broken := t.brokenServers[t.incarnationAtLocked(server, sentAt)]
+	alive := broken != nil && sentAt.After(broken.firstBreakAt)
+	if alive {
+		t.stopWatchingLocked(broken)
 	}
-	changed := t.clearLocked(fingerprint) || lives
+	changed := t.clearLocked(fingerprint) || alive
 	if changed {
 		t.updateLocked()
 	}
@@ -226,38 +228,39 @@
 	}
 }
 
-// clearLocked forgets all that is known against a request.
+// clearLocked forgets everything known against a request.
 func (t *Tracker) clearLocked(fingerprint quarantine.Fingerprint) (changed bool) {
-	for _, broken := range t.breaks {
-		if broken.ran(fingerprint) {
+	for _, broken := range t.brokenServers {
+		if broken.wasRunning(fingerprint) {
 			delete(broken.requests, fingerprint)
 			changed = true
 		}
 	}
 	confirmed := t.ledger.IsConfirmed(fingerprint)
 	cleared := t.ledger.Clear(fingerprint)
-	t.unshareLocked(cleared)
+	t.retractLocked(cleared)
 	if confirmed {
-		t.takeBackLocked(verdictOn(fingerprint))
+		t.enqueueRetractionLocked(confirmationOf(fingerprint))
 	}
 	return changed || len(cleared) > 0
 }
 
-// Release forgets a request that an operator lets run again; it returns false for one against
-// which nothing is known.
+// Release clears a request on behalf of an operator; it returns false if nothing was known against
+// it.
 func (t *Tracker) Release(fingerprint quarantine.Fingerprint) bool {
 	t.mutex.Lock()
 	changed := t.clearLocked(fingerprint)
 	t.updateLocked()
 	t.mutex.Unlock()
 	if changed {
-		t.options.Logger.Info("request released by an operator", zap.String("fingerprint", fingerprint.Short()))
+		t.options.Logger.Info("request released by operator", zap.String("fingerprint", fingerprint.Short()))
 		t.signal()
 	}
 	return changed
 }
 
-// Cases returns the requests under which servers ended, for operators: the times are this machine's time of day.
+// Cases returns the requests under which servers ended, for operators; times are by this machine's
+// time of day.
 func (t *Tracker) Cases() []quarantine.Case {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -272,39 +275,39 @@
 	return cases
 }
 
-// Held returns the number of requests that are held.
+// Held returns the number of held requests.
 func (t *Tracker) Held() int {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	return len(t.held)
+	return len(t.heldSince)
 }
 
-// mostLogged bounds the fingerprints in one log line.
-const mostLogged = 8
+// maxLoggedFingerprints bounds the fingerprints in one log line.
+const maxLoggedFingerprints = 8
 
 func shortForms(fingerprints []quarantine.Fingerprint) []string {
 	var texts []string
-	for _, fingerprint := range fingerprints[:min(len(fingerprints), mostLogged)] {
+	for _, fingerprint := range fingerprints[:min(len(fingerprints), maxLoggedFingerprints)] {
 		texts = append(texts, fingerprint.Short())
 	}
 	return texts
 }
 
-// updateLocked notes what has changed by the last inputs.
+// updateLocked updates heldSince and active from the ledger.
 func (t *Tracker) updateLocked() {
-	for fingerprint := range t.held {
+	for fingerprint := range t.heldSince {
 		if !t.ledger.Suspicion(clock.Now(), fingerprint).Proved {
-			delete(t.held, fingerprint)
-			t.options.Logger.Info("request no longer held", zap.String("fingerprint", fingerprint.Short()))
+			delete(t.heldSince, fingerprint)
+			t.options.Logger.Info("request hold ended", zap.String("fingerprint", fingerprint.Short()))
 		}
 	}
 	for _, fingerprint := range t.ledger.Proved() {
-		if t.held[fingerprint].IsZero() {
-			t.held[fingerprint] = clock.Now()
+		if t.heldSince[fingerprint].IsZero() {
+			t.heldSince[fingerprint] = clock.Now()
 			t.logHeld(t.ledger.Case(fingerprint))
 		}
 	}
-	t.active.Store(t.ledger.Len() > 0 || len(t.breaks) > 0 || len(t.ended) > 0)
+	t.active.Store(t.ledger.Len() > 0 || len(t.brokenServers) > 0 || len(t.ended) > 0)
 }
 
 func (t *Tracker) logHeld(known quarantine.Case) {
@@ -321,7 +324,7 @@
 		zap.Strings("servers", servers), zap.Int64s("born", births), zap.Durations("ages", ages))
 }
 
-// signal has the goroutines of Run look at what there is to do.
+// signal wakes the goroutines of Run.
 func (t *Tracker) signal() {
 	for _, wake := range []chan struct{}{t.wake, t.unsentWake, t.changedWake} {
 		select {
@@ -331,14 +334,14 @@
 	}
 }
 
-// sweepInterval is the time between two sweeps of what is no longer of use.
+// sweepInterval is the time between two sweeps.
 const sweepInterval = time.Second
 
-// Run settles, shares and learns until the context ends.
+// Run detects and shares ends until the context ends.
 func (t *Tracker) Run(ctx context.Context) {
 	var background conc.WaitGroup
 	defer background.Wait()
-	background.Go(func() { t.tell(ctx) })
+	background.Go(func() { t.notifyChanges(ctx) })
 	if t.options.Log != nil {
 		background.Go(func() { t.follow(ctx) })
 		background.Go(func() { t.publish(ctx) })
@@ -346,7 +349,7 @@
 	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
 	for {
-		for _, broken := range t.unprobed() {
+		for _, broken := range t.takeUnprobed() {
 			background.Go(func() { t.probe(ctx, broken) })
 		}
 		select {
@@ -359,24 +362,24 @@
 	}
 }
 
-// tellInterval is the shortest time between two tellings that something has changed: many servers
-// may crash at once, and whoever is told looks at all that is known.
-const tellInterval = 20 * time.Millisecond
+// notifyInterval is the shortest time between two calls of OnChange: many servers may crash at
+// once, and each call reads all suspicions.
+const notifyInterval = 20 * time.Millisecond
 
-// tell has the options' Changed called after changes.
-func (t *Tracker) tell(ctx context.Context) {
+// notifyChanges calls OnChange after changes.
+func (t *Tracker) notifyChanges(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-t.changedWake:
-			t.options.Changed()
+			t.options.OnChange()
 		}
-		if !pause.For(ctx, tellInterval) {
+		if !pause.For(ctx, notifyInterval) {
 			return
 		}
 	}
 }
 
-// endedFor is how long a server's end is remembered for what is still to break there.
-const endedFor = 10 * time.Second
+// endedRetention is how long the end of a server is remembered, for connections that break later.
+const endedRetention = 10 * time.Second
--- a/internal/crashwatch/tracker_test.go
+++ b/internal/crashwatch/tracker_test.go
@@ -15,192 +15,191 @@
 	"dalehook/internal/store/storetest"
 )
 
-// desk is a tracker on a virtual clock, before servers of which the test says what probes find.
-type desk struct {
+// testNode is a tracker on a virtual clock, whose probes return probeResult.
+type testNode struct {
 	*Tracker
-	list   *directory.Directory
-	reach  atomic.Int32
-	probes atomic.Int32
-	// hang is how long a probe takes.
-	hang atomic.Int64
+	list        *directory.Directory
+	probeResult atomic.Int32
+	probes      atomic.Int32
+	// probeDuration is how long a probe takes.
+	probeDuration atomic.Int64
 	// suspension is how long the machine is suspended during a probe.
 	suspension atomic.Int64
-	// ahead is by how much the machine's time of day is ahead of the true one.
-	ahead atomic.Int64
+	// clockOffset is how far the machine's time of day is ahead of the true one.
+	clockOffset atomic.Int64
 }
 
-func newDesk(ctx context.Context, log store.Log) *desk {
-	d := &desk{list: directory.NewDirectory()}
-	d.reach.Store(int32(ReachRefused))
-	d.Tracker = NewTracker(Options{
-		Node: "n", Log: log, Directory: d.list, Tidies: func() bool { return true },
-		TimeOfDay: func() time.Time { return clock.TimeOfDay().Add(time.Duration(d.ahead.Load())) },
-		Probe: func(context.Context, string) Reach {
-			d.probes.Add(1)
-			time.Sleep(time.Duration(d.hang.Load()))
-			clock.NoteSuspended(time.Duration(d.suspension.Load()))
-			return Reach(d.reach.Load())
+func newTestNode(ctx context.Context, log store.Log) *testNode {
+	node := &testNode{list: directory.NewDirectory()}
+	node.probeResult.Store(int32(ProbeRefused))
+	node.Tracker = NewTracker(Options{
+		Node: "n", Log: log, Directory: node.list, IsCleaner: func() bool { return true },
+		TimeOfDay: func() time.Time { return clock.TimeOfDay().Add(time.Duration(node.clockOffset.Load())) },
+		Probe: func(context.Context, string) ProbeResult {
+			node.probes.Add(1)
+			time.Sleep(time.Duration(node.probeDuration.Load()))
+			clock.NoteSuspended(time.Duration(node.suspension.Load()))
+			return ProbeResult(node.probeResult.Load())
 		},
 	})
-	go d.Run(ctx)
-	return d
+	go node.Run(ctx)
+	return node
 }
 
-// put lists a life of a server and returns its entry.
-func (d *desk) put(number int) directory.Server {
+// put lists an incarnation of the server and returns its entry.
+func (node *testNode) put(number int) directory.Server {
 	server := directory.Server{ID: "i", Born: int64(number), Service: "s", Address: "a:1"}
-	d.list.Apply([]directory.Change{{ID: server.ID, Server: &server}})
-	d.ObserveServers()
+	node.list.Apply([]directory.Change{{ID: server.ID, Server: &server}})
+	node.ObserveServers()
 	return server
 }
 
-// inBubble runs a test with a desk on a virtual clock.
-func inBubble(t *testing.T, test func(t *testing.T, d *desk)) {
+// withNode runs a test with a node on a virtual clock.
+func withNode(t *testing.T, test func(t *testing.T, node *testNode)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		test(t, newDesk(ctx, nil))
+		test(t, newTestNode(ctx, nil))
 		cancel()
 		synctest.Wait()
 	})
 }
 
-// amongNodes runs a test with nodes that share a store, on a virtual clock.
-func amongNodes(t *testing.T, test func(t *testing.T, log *storetest.Memory, newNode func() *desk)) {
+// withSharedStore runs a test with nodes that share a store, on a virtual clock.
+func withSharedStore(t *testing.T, test func(t *testing.T, log *storetest.Memory, newNode func() *testNode)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		log := storetest.NewMemory()
-		test(t, log, func() *desk { return newDesk(ctx, log) })
+		test(t, log, func() *testNode { return newTestNode(ctx, log) })
 		cancel()
 		synctest.Wait()
 	})
 }
 
-const settled = 400 * time.Millisecond
+const probeTime = 400 * time.Millisecond
 
-func TestAServerThatRefusesConnectionsHasEnded(t *testing.T) {
-	inBubble(t, func(t *testing.T, d *desk) {
+func TestServerRefusingConnectionsHasEnded(t *testing.T) {
+	withNode(t, func(t *testing.T, node *testNode) {
 		for number := range 3 {
-			server := d.put(number)
-			d.Broke(named("d"), server, UnderWay{})
-			if number == 2 && !d.Suspicion(named("d")).Settling {
-				t.Error("the third end is not waited for")
+			server := node.put(number)
+			node.RecordBreak(fingerprintNamed("d"), server, InFlightRequest{})
+			if number == 2 && !node.Suspicion(fingerprintNamed("d")).Settling {
+				t.Error("no probe is pending for the third end")
 			}
-			d.Settle(t.Context(), named("d"))
-			if got := d.Suspicion(named("d")); got.Ends != number+1 || got.Held != (number == 2) {
+			node.AwaitProbes(t.Context(), fingerprintNamed("d"))
+			if got := node.Suspicion(fingerprintNamed("d")); got.Ends != number+1 || got.Held != (number == 2) {
 				t.Errorf("after %d ends: %+v", number+1, got)
 			}
 		}
 	})
 }
 
-func TestABreakIsNoEnd(t *testing.T) {
+func TestBrokenConnectionAloneIsNotAnEnd(t *testing.T) {
 	cases := []struct {
 		name string
-		set  func(d *desk)
+		set  func(node *testNode)
 	}{
-		{"the server takes connections", func(d *desk) { d.reach.Store(int32(ReachOpen)) }},
-		{"the server can not be reached", func(d *desk) { d.reach.Store(int32(ReachUnknown)) }},
-		{"the node stood still meanwhile", func(d *desk) { d.hang.Store(int64(2 * time.Second)) }},
-		{"the machine was suspended meanwhile", func(d *desk) { d.suspension.Store(int64(2 * time.Second)) }},
-		{"the server was leaving", func(d *desk) {
-			leaving := directory.Server{ID: "i", Service: "s", Address: "a:1", Draining: true}
-			d.list.Apply([]directory.Change{{ID: "i", Server: &leaving}})
+		{"the server accepts connections", func(node *testNode) { node.probeResult.Store(int32(ProbeOpen)) }},
+		{"the server is unreachable", func(node *testNode) { node.probeResult.Store(int32(ProbeUnknown)) }},
+		{"the node was delayed meanwhile", func(node *testNode) { node.probeDuration.Store(int64(2 * time.Second)) }},
+		{"the machine was suspended meanwhile", func(node *testNode) { node.suspension.Store(int64(2 * time.Second)) }},
+		{"the server was draining", func(node *testNode) {
+			draining := directory.Server{ID: "i", Service: "s", Address: "a:1", Draining: true}
+			node.list.Apply([]directory.Change{{ID: "i", Server: &draining}})
 		}},
-		{"the server was gone from the list", func(d *desk) { d.list.Apply([]directory.Change{{ID: "i"}}) }},
+		{"the server was no longer listed", func(node *testNode) { node.list.Apply([]directory.Change{{ID: "i"}}) }},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			inBubble(t, func(t *testing.T, d *desk) {
-				server := d.put(0)
-				c.set(d)
-				d.Broke(named("d"), server, UnderWay{})
+			withNode(t, func(t *testing.T, node *testNode) {
+				server := node.put(0)
+				c.set(node)
+				node.RecordBreak(fingerprintNamed("d"), server, InFlightRequest{})
 				time.Sleep(5 * time.Second)
-				if got := d.Suspicion(named("d")); got != (quarantine.Suspicion{}) {
+				if got := node.Suspicion(fingerprintNamed("d")); got != (quarantine.Suspicion{}) {
 					t.Errorf("%+v", got)
 				}
-				time.Sleep(2 * listPatience)
-				if d.Active() {
-					t.Error("something is still kept")
+				time.Sleep(2 * replacementTimeout)
+				if node.Active() {
+					t.Error("tracker is still active")
 				}
 			})
 		})
 	}
 }
 
-// Seen: in CI beside load, a request that a node without the store had found was sent on by another
-// node once; the ends that it named were those of lives that another request had ended before.
-// Cause: a server that is back under its id is listed anew only where the list is read. What
-// breaks there counted as the end that was known, or as nothing.
-func TestALaterLifeThatIsNotListedEndsAnew(t *testing.T) {
-	inBubble(t, func(t *testing.T, d *desk) {
-		server := d.put(0)
+// The end of an incarnation that is not listed yet counts as a separate end. A restarted server is
+// listed again only when the list is read; breaks there were counted as the end already known or
+// ignored, so that another node sent the request on once more.
+func TestEndOfUnlistedIncarnationCounts(t *testing.T) {
+	withNode(t, func(t *testing.T, node *testNode) {
+		server := node.put(0)
 		began := clock.Now()
-		d.Broke(named("d"), server, UnderWay{Began: began})
-		time.Sleep(settled)
-		d.Broke(named("late"), server, UnderWay{Began: began})
+		node.RecordBreak(fingerprintNamed("d"), server, InFlightRequest{SentAt: began})
+		time.Sleep(probeTime)
+		node.RecordBreak(fingerprintNamed("late"), server, InFlightRequest{SentAt: began})
 		time.Sleep(3 * time.Second)
-		d.Broke(named("d"), server, UnderWay{Began: clock.Now()})
-		time.Sleep(settled)
-		if got := d.Suspicion(named("d")); got.Ends != 2 {
-			t.Errorf("after the end of a life that is not listed: %+v", got)
+		node.RecordBreak(fingerprintNamed("d"), server, InFlightRequest{SentAt: clock.Now()})
+		time.Sleep(probeTime)
+		if got := node.Suspicion(fingerprintNamed("d")); got.Ends != 2 {
+			t.Errorf("after the end of an unlisted incarnation: %+v", got)
 		}
-		if got := d.Suspicion(named("late")); got.Ends != 1 {
-			t.Errorf("what broke late at the first end: %+v", got)
+		if got := node.Suspicion(fingerprintNamed("late")); got.Ends != 1 {
+			t.Errorf("request broken late by the first end: %+v", got)
 		}
-		cases := d.Cases()
+		cases := node.Cases()
 		if len(cases) != 2 || cases[0].Ends[0].Server == cases[0].Ends[1].Server {
-			t.Errorf("the two lives have one name: %+v", cases)
+			t.Errorf("two incarnations have the same name: %+v", cases)
 		}
 		time.Sleep(3 * time.Second)
-		d.reach.Store(int32(ReachOpen))
-		d.Broke(named("d"), server, UnderWay{Began: clock.Now()})
-		time.Sleep(settled)
-		if got := d.Suspicion(named("d")); got.Ends != 2 {
-			t.Errorf("after a break of a life that goes on: %+v", got)
+		node.probeResult.Store(int32(ProbeOpen))
+		node.RecordBreak(fingerprintNamed("d"), server, InFlightRequest{SentAt: clock.Now()})
+		time.Sleep(probeTime)
+		if got := node.Suspicion(fingerprintNamed("d")); got.Ends != 2 {
+			t.Errorf("after a broken connection to a running incarnation: %+v", got)
 		}
 	})
 }
 
-// A machine that is silent after a crash refuses nothing; the list tells once the server is back.
-// Seen: a request that a node without the store had found was sent on by another node once, in half of the
-// runs of TestANodeThatTheStoreTurnsAwayKnowsWhatOthersFound under the race detector. The node takes its
-// requests to servers that are back after the end of a life that it lists, and that another node found; their
-// next ends were put to that life, which had ended under another request, and so counted for neither.
-// Cause: only ends that the node itself had found told it of later lives. Proved by the logs of such a run,
-// where the ends of both requests name the same births, and by this test.
-func TestALaterLifeAfterAnEndThatAnotherNodeFound(t *testing.T) {
+// A machine that does not respond after a crash refuses no probes; the list shows when the server
+// is back. The next incarnation must also be recognized if another node found the end of the listed
+// one. Otherwise its end was attributed to the incarnation that had already ended under another
+// request and counted for neither, and a request that a node without the store had found was sent
+// on once more (half of the runs of TestANodeThatTheStoreTurnsAwayKnowsWhatOthersFound under the
+// race detector).
+func TestNextIncarnationAfterEndFoundByAnotherNode(t *testing.T) {
 	cases := []struct {
 		name string
-		// later is how long after the first end the next request began.
-		later time.Duration
-		// anew says that it met a later life. The times of day of two nodes may differ: what began right
-		// after the end may have met the life that ended.
-		anew bool
+		// delay is how long after the first end the next request began.
+		delay time.Duration
+		// onNext says that the request ran on the next incarnation. The times of day of two nodes may
+		// differ: a request that began right after the end may have run on the incarnation that
+		// ended.
+		onNext bool
 	}{
-		{"right then", 0, false},
-		{"once the server may be back", 3 * time.Second, true},
+		{"right after the end", 0, false},
+		{"after the server may have restarted", 3 * time.Second, true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			amongNodes(t, func(t *testing.T, log *storetest.Memory, newNode func() *desk) {
+			withSharedStore(t, func(t *testing.T, log *storetest.Memory, newNode func() *testNode) {
 				finder, other := newNode(), newNode()
 				server := finder.put(1)
 				other.put(1)
-				finder.Broke(named("first"), server, UnderWay{Began: clock.Now()})
-				time.Sleep(settled)
-				time.Sleep(c.later)
-				other.Broke(named("second"), server, UnderWay{Began: clock.Now()})
-				time.Sleep(settled)
-				for number, d := range []*desk{finder, other} {
+				finder.RecordBreak(fingerprintNamed("first"), server, InFlightRequest{SentAt: clock.Now()})
+				time.Sleep(probeTime)
+				time.Sleep(c.delay)
+				other.RecordBreak(fingerprintNamed("second"), server, InFlightRequest{SentAt: clock.Now()})
+				time.Sleep(probeTime)
+				for number, node := range []*testNode{finder, other} {
 					ends := make(map[quarantine.Fingerprint]directory.Incarnation)
-					for _, known := range d.Cases() {
+					for _, known := range node.Cases() {
 						ends[known.Fingerprint] = known.Ends[0].Server
 					}
-					if len(ends) != 2 || ends[named("first")] != server.Incarnation() {
-						t.Errorf("node %d: the end of the life that is listed: %+v", number, ends)
+					if len(ends) != 2 || ends[fingerprintNamed("first")] != server.Incarnation() {
+						t.Errorf("node %d: ends %+v", number, ends)
 					}
-					if anew := ends[named("second")] != server.Incarnation(); anew != c.anew {
-						t.Errorf("node %d: the next end was put to a later life: %v", number, anew)
+					if onNext := ends[fingerprintNamed("second")] != server.Incarnation(); onNext != c.onNext {
+						t.Errorf("node %d: second end counts against the next incarnation: %v", number, onNext)
 					}
 				}
 			})
@@ -208,21 +207,21 @@
 	}
 }
 
-func TestAReplacedServerHasEnded(t *testing.T) {
+func TestReplacedServerHasEnded(t *testing.T) {
 	replacements := map[string]directory.Server{
-		"a later life of it":            {ID: "i", Born: 9, Service: "s", Address: "a:1"},
+		"a later incarnation":           {ID: "i", Born: 9, Service: "s", Address: "a:1"},
 		"another server at its address": {ID: "j", Born: 9, Service: "s", Address: "a:1"},
 	}
 	for name, replacement := range replacements {
 		t.Run(name, func(t *testing.T) {
-			inBubble(t, func(t *testing.T, d *desk) {
-				d.reach.Store(int32(ReachUnknown))
-				server := d.put(1)
-				d.Broke(named("d"), server, UnderWay{})
+			withNode(t, func(t *testing.T, node *testNode) {
+				node.probeResult.Store(int32(ProbeUnknown))
+				server := node.put(1)
+				node.RecordBreak(fingerprintNamed("d"), server, InFlightRequest{})
 				time.Sleep(3 * time.Second)
-				d.list.Apply([]directory.Change{{ID: replacement.ID, Server: &replacement}})
-				d.ObserveServers()
-				if got := d.Suspicion(named("d")); got.Ends != 1 {
+				node.list.Apply([]directory.Change{{ID: replacement.ID, Server: &replacement}})
+				node.ObserveServers()
+				if got := node.Suspicion(fingerprintNamed("d")); got.Ends != 1 {
 					t.Errorf("%+v", got)
 				}
 			})
@@ -230,176 +229,175 @@
 	}
 }
 
-// One server may run a harmless request many times a second; whatever ends, an answer to it
-// comes before the end is settled.
-func TestAnAnsweredRequestIsNotSuspected(t *testing.T) {
-	inBubble(t, func(t *testing.T, d *desk) {
-		server := d.put(0)
-		d.Broke(named("a"), server, UnderWay{})
-		d.Broke(named("d"), server, UnderWay{})
-		d.Answered(named("a"), directory.Incarnation{ID: "other"}, clock.Now())
-		time.Sleep(settled)
-		if got := d.Suspicion(named("a")); got != (quarantine.Suspicion{}) {
-			t.Errorf("the answered one: %+v", got)
+// A server may run a harmless request many times a second; a response to it arrives before the
+// probes of the crashed server are done.
+func TestAnsweredRequestIsNotSuspected(t *testing.T) {
+	withNode(t, func(t *testing.T, node *testNode) {
+		server := node.put(0)
+		node.RecordBreak(fingerprintNamed("a"), server, InFlightRequest{})
+		node.RecordBreak(fingerprintNamed("d"), server, InFlightRequest{})
+		node.RecordResponse(fingerprintNamed("a"), directory.Incarnation{ID: "other"}, clock.Now())
+		time.Sleep(probeTime)
+		if got := node.Suspicion(fingerprintNamed("a")); got != (quarantine.Suspicion{}) {
+			t.Errorf("answered request: %+v", got)
 		}
-		if got := d.Suspicion(named("d")); got.Ends != 1 {
-			t.Errorf("the other one: %+v", got)
+		if got := node.Suspicion(fingerprintNamed("d")); got.Ends != 1 {
+			t.Errorf("other request: %+v", got)
 		}
 	})
 }
 
-// A server that answers what was sent to it after it broke a connection has not ended.
-func TestAnAnswerShowsThatTheServerLives(t *testing.T) {
-	inBubble(t, func(t *testing.T, d *desk) {
-		server := d.put(0)
-		d.Broke(named("d"), server, UnderWay{})
+// A response to a request sent after a broken connection shows that the server has not ended.
+func TestResponseShowsThatServerIsAlive(t *testing.T) {
+	withNode(t, func(t *testing.T, node *testNode) {
+		server := node.put(0)
+		node.RecordBreak(fingerprintNamed("d"), server, InFlightRequest{})
 		time.Sleep(time.Millisecond)
-		d.Answered(named("b"), server.Incarnation(), clock.Now())
-		time.Sleep(settled)
-		if got := d.Suspicion(named("d")); got != (quarantine.Suspicion{}) {
+		node.RecordResponse(fingerprintNamed("b"), server.Incarnation(), clock.Now())
+		time.Sleep(probeTime)
+		if got := node.Suspicion(fingerprintNamed("d")); got != (quarantine.Suspicion{}) {
 			t.Errorf("%+v", got)
 		}
 	})
 }
 
-// What nodes found is known to all, also to one that starts later, and an answer or a release
-// at one of them clears it everywhere.
-func TestNodesShareWhatTheyFound(t *testing.T) {
-	amongNodes(t, func(t *testing.T, log *storetest.Memory, newNode func() *desk) {
+// Findings are known to all nodes, including one that starts later, and a response or a release at
+// one node clears the request at all of them.
+func TestNodesShareFindings(t *testing.T) {
+	withSharedStore(t, func(t *testing.T, log *storetest.Memory, newNode func() *testNode) {
 		first, second := newNode(), newNode()
 		for number := range 3 {
-			seenBy := []*desk{first, second, first}[number]
+			seenBy := []*testNode{first, second, first}[number]
 			server := seenBy.put(number)
-			seenBy.Broke(named("d"), server, UnderWay{})
-			seenBy.Broke(named("a"), server, UnderWay{})
-			time.Sleep(settled)
+			seenBy.RecordBreak(fingerprintNamed("d"), server, InFlightRequest{})
+			seenBy.RecordBreak(fingerprintNamed("a"), server, InFlightRequest{})
+			time.Sleep(probeTime)
 		}
-		second.Answered(named("a"), directory.Incarnation{ID: "other"}, clock.Now())
-		time.Sleep(settled)
+		second.RecordResponse(fingerprintNamed("a"), directory.Incarnation{ID: "other"}, clock.Now())
+		time.Sleep(probeTime)
 		third := newNode()
-		time.Sleep(settled)
-		for number, d := range []*desk{first, second, third} {
-			if got := d.Suspicion(named("d")); !got.Held || got.Ends != 3 {
-				t.Errorf("node %d: the deadly one %+v", number, got)
+		time.Sleep(probeTime)
+		for number, node := range []*testNode{first, second, third} {
+			if got := node.Suspicion(fingerprintNamed("d")); !got.Held || got.Ends != 3 {
+				t.Errorf("node %d: crashing request: %+v", number, got)
 			}
-			if got := d.Suspicion(named("a")); got.Ends != 0 {
-				t.Errorf("node %d: the harmless one %+v", number, got)
+			if got := node.Suspicion(fingerprintNamed("a")); got.Ends != 0 {
+				t.Errorf("node %d: harmless request: %+v", number, got)
 			}
 		}
-		if !third.Release(named("d")) || third.Release(named("d")) {
-			t.Error("a request is released once")
+		if !third.Release(fingerprintNamed("d")) || third.Release(fingerprintNamed("d")) {
+			t.Error("release did not succeed exactly once")
 		}
-		time.Sleep(settled)
-		for number, d := range []*desk{first, second, third} {
-			if d.Suspicion(named("d")).Held {
-				t.Errorf("node %d holds what was released", number)
+		time.Sleep(probeTime)
+		for number, node := range []*testNode{first, second, third} {
+			if node.Suspicion(fingerprintNamed("d")).Held {
+				t.Errorf("node %d holds the released request", number)
 			}
 		}
 	})
 }
 
-// An engine that crashes implicates all that it runs, which nearly always is answered by the next one.
-// What only one node runs is shared from its second end on.
-func TestTheFirstEndOfWhatRunsHereOnlyIsNotShared(t *testing.T) {
-	amongNodes(t, func(t *testing.T, log *storetest.Memory, newNode func() *desk) {
+// A crash of an engine implicates everything it runs, and nearly all of that is answered by the
+// next engine. A request that runs on a single node is shared from its second end on.
+func TestFirstEndOfLocalRequestIsNotShared(t *testing.T) {
+	withSharedStore(t, func(t *testing.T, log *storetest.Memory, newNode func() *testNode) {
 		first, second := newNode(), newNode()
-		here := UnderWay{Progressed: true, HereOnly: true}
+		here := InFlightRequest{Progressed: true, LocalOnly: true}
 		server := first.put(1)
-		first.Broke(named("a"), server, here)
-		first.Broke(named("d"), server, here)
-		time.Sleep(settled)
-		first.Answered(named("a"), directory.Incarnation{ID: "other"}, clock.Now())
-		time.Sleep(settled)
+		first.RecordBreak(fingerprintNamed("a"), server, here)
+		first.RecordBreak(fingerprintNamed("d"), server, here)
+		time.Sleep(probeTime)
+		first.RecordResponse(fingerprintNamed("a"), directory.Incarnation{ID: "other"}, clock.Now())
+		time.Sleep(probeTime)
 		if appends := log.Appends(); appends != 0 {
-			t.Errorf("%d calls for what one node knows", appends)
+			t.Errorf("%d writes for local findings", appends)
 		}
-		first.Broke(named("d"), first.put(2), here)
-		time.Sleep(settled)
-		if got := second.Suspicion(named("d")); got.Ends != 2 {
-			t.Errorf("the other node knows %+v", got)
+		first.RecordBreak(fingerprintNamed("d"), first.put(2), here)
+		time.Sleep(probeTime)
+		if got := second.Suspicion(fingerprintNamed("d")); got.Ends != 2 {
+			t.Errorf("other node: %+v", got)
 		}
-		first.Answered(named("d"), directory.Incarnation{ID: "other"}, clock.Now())
-		time.Sleep(settled)
-		if got := second.Suspicion(named("d")); got.Ends != 0 {
-			t.Errorf("after an answer the other node knows %+v", got)
+		first.RecordResponse(fingerprintNamed("d"), directory.Incarnation{ID: "other"}, clock.Now())
+		time.Sleep(probeTime)
+		if got := second.Suspicion(fingerprintNamed("d")); got.Ends != 0 {
+			t.Errorf("other node after a response: %+v", got)
 		}
 	})
 }
 
-// A node that starts holds what the others came to know one by one, though the ends alone no longer
-// show it.
-func TestANodeThatStartsTakesOverConfirmedProofs(t *testing.T) {
-	amongNodes(t, func(t *testing.T, log *storetest.Memory, newNode func() *desk) {
+// A node that starts holds the requests that others have confirmed, even if the ends alone no
+// longer prove it.
+func TestStartingNodeLoadsConfirmations(t *testing.T) {
+	withSharedStore(t, func(t *testing.T, log *storetest.Memory, newNode func() *testNode) {
 		first := newNode()
 		for number := range 4 {
 			server := first.put(number)
-			first.Broke(named("d"), server, UnderWay{})
+			first.RecordBreak(fingerprintNamed("d"), server, InFlightRequest{})
 			if number < 3 {
-				first.Broke(named("e"), server, UnderWay{})
+				first.RecordBreak(fingerprintNamed("e"), server, InFlightRequest{})
 			}
-			time.Sleep(settled)
+			time.Sleep(probeTime)
 		}
 		time.Sleep(3 * time.Second)
-		first.Broke(named("e"), first.put(4), UnderWay{})
-		time.Sleep(settled)
+		first.RecordBreak(fingerprintNamed("e"), first.put(4), InFlightRequest{})
+		time.Sleep(probeTime)
 		second := newNode()
-		time.Sleep(settled)
-		for number, d := range []*desk{first, second} {
-			if !d.Suspicion(named("d")).Proved {
-				t.Errorf("node %d does not hold what was proved", number)
+		time.Sleep(probeTime)
+		for number, node := range []*testNode{first, second} {
+			if !node.Suspicion(fingerprintNamed("d")).Proved {
+				t.Errorf("node %d does not hold the proven request", number)
 			}
 		}
-		second.Release(named("d"))
-		time.Sleep(settled)
+		second.Release(fingerprintNamed("d"))
+		time.Sleep(probeTime)
 		if kept, _, _ := log.Newest(t.Context(), store.TopicQuarantine); len(kept) != 4 {
-			t.Errorf("%d records after a release, with four ends of the other", len(kept))
+			t.Errorf("%d records after the release, want the four ends of the other request", len(kept))
 		}
 	})
 }
 
-// What could not be written while the store was away is written once it is back.
-func TestFindingsOutlastAnOutage(t *testing.T) {
-	amongNodes(t, func(t *testing.T, log *storetest.Memory, newNode func() *desk) {
+// Findings that could not be written during a store outage are written afterwards.
+func TestFindingsSurviveStoreOutage(t *testing.T) {
+	withSharedStore(t, func(t *testing.T, log *storetest.Memory, newNode func() *testNode) {
 		first, second := newNode(), newNode()
-		time.Sleep(settled)
+		time.Sleep(probeTime)
 		log.SetFault(storetest.FaultRefuse)
 		for number := range 3 {
 			server := first.put(number)
-			first.Broke(named("d"), server, UnderWay{})
-			time.Sleep(settled)
+			first.RecordBreak(fingerprintNamed("d"), server, InFlightRequest{})
+			time.Sleep(probeTime)
 		}
-		if !first.Suspicion(named("d")).Held || second.Suspicion(named("d")).Held {
-			t.Error("while the store is away, the node that found it alone is to know")
+		if !first.Suspicion(fingerprintNamed("d")).Held || second.Suspicion(fingerprintNamed("d")).Held {
+			t.Error("during the outage, the request is not held by exactly the node that found it")
 		}
 		log.SetFault(storetest.FaultNone)
 		time.Sleep(3 * time.Second)
-		if !second.Suspicion(named("d")).Held {
-			t.Error("the other node does not know once the store is back")
+		if !second.Suspicion(fingerprintNamed("d")).Held {
+			t.Error("the other node does not hold the request after the outage")
 		}
 	})
 }
 
-func named(name string) quarantine.Fingerprint {
+func fingerprintNamed(name string) quarantine.Fingerprint {
 	return quarantine.FingerprintOf(quarantine.Identity{Target: name})
 }
 
-// Seen: none; read in the code. Ends that gave way to newer ones in memory stayed in the store for good,
-// where each node that starts reads them.
-// Cause: only ends that had become too old were removed there.
-func TestWhatGivesWayIsRemovedFromTheStore(t *testing.T) {
-	amongNodes(t, func(t *testing.T, log *storetest.Memory, newNode func() *desk) {
-		d := newNode()
+// Ends evicted from memory must be removed from the store, where every starting node would read
+// them; only expired ends used to be.
+func TestEvictedEndsAreRemovedFromStore(t *testing.T) {
+	withSharedStore(t, func(t *testing.T, log *storetest.Memory, newNode func() *testNode) {
+		node := newNode()
 		for number := range 36 {
-			server := d.put(number)
-			for request := range mostUnderWay {
-				d.Broke(named(fmt.Sprint(number, " ", request)), server, UnderWay{})
+			server := node.put(number)
+			for request := range maxRequestsPerEnd {
+				node.RecordBreak(fingerprintNamed(fmt.Sprint(number, " ", request)), server, InFlightRequest{})
 			}
-			time.Sleep(settled)
+			time.Sleep(probeTime)
 		}
 		time.Sleep(10 * time.Second)
 		kept, _, err := log.Newest(t.Context(), store.TopicQuarantine)
-		if err != nil || len(kept) != d.ledger.Len() {
-			t.Errorf("%d records in the store, %d ends in memory, %v", len(kept), d.ledger.Len(), err)
+		if err != nil || len(kept) != node.ledger.Len() {
+			t.Errorf("%d records in the store, %d ends in memory, %v", len(kept), node.ledger.Len(), err)
 		}
 	})
 }
--- a/internal/frontend/node.go
+++ b/internal/frontend/node.go
@@ -45,7 +45,7 @@
 	Log() store.Log
 	Backend() gateway.Backend
 	// Probe finds out whether anything takes connections at a server's address.
-	Probe(ctx context.Context, address string) crashwatch.Reach
+	Probe(ctx context.Context, address string) crashwatch.ProbeResult
 	Engines() coordinator.Engines
 	// Provider is called only where the settings name one.
 	Provider() Provider
@@ -159,7 +159,7 @@
 	n.quarantine = n.newQuarantine(logger)
 	n.zones = evacuatedZones{directory: n.directory, changed: n.observeServers, logger: n.logger}
 	n.gateway = gateway.NewGateway(gateway.Options{
-		Backend: adapter.Backend(), Directory: n.directory, Node: options.Settings.Node, Zone: options.Settings.Zone, Tracker: n.quarantine,
+		Backend: adapter.Backend(), Directory: n.directory, Node: options.Settings.Node, Zone: options.Settings.Zone, Quarantine: n.quarantine,
 		Logger: logger.Named("gateway"), Observe: n.metrics.observeRequest, OnStarted: n.noteBegan,
 	})
 	adapter.ObserveStore(n.observeStore)
--- a/internal/frontend/quarantine.go
+++ b/internal/frontend/quarantine.go
@@ -17,11 +17,11 @@
 	adapter := n.options.Adapter
 	return crashwatch.NewTracker(crashwatch.Options{
 		Node: n.process(), Log: adapter.Log(), Directory: n.directory, Probe: adapter.Probe,
-		Logger:   logger.Named("quarantine"),
-		Relay:    crashwatch.Relay{Read: n.readQuarantineRelayed, Put: n.putQuarantineRelayed},
-		Changed:  func() { n.coordinator.ObserveQuarantine() },
-		Tidies:   func() bool { return n.coordinator.State().Leading },
-		Observer: n.metrics, TimeOfDay: n.options.TimeOfDay,
+		Logger:    logger.Named("quarantine"),
+		Relay:     crashwatch.Relay{Read: n.readQuarantineRelayed, Put: n.putQuarantineRelayed},
+		OnChange:  func() { n.coordinator.ObserveQuarantine() },
+		IsCleaner: func() bool { return n.coordinator.State().Leading },
+		Observer:  n.metrics, TimeOfDay: n.options.TimeOfDay,
 	})
 }
 
--- a/internal/gateway/suspicion_test.go
+++ b/internal/gateway/suspicion_test.go
@@ -41,13 +41,13 @@
 	return nil, &SendError{Cause: errors.New("EOF"), Sent: true}
 }
 
-func (p *crashingPool) probe(_ context.Context, address string) crashwatch.Reach {
+func (p *crashingPool) probe(_ context.Context, address string) crashwatch.ProbeResult {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if p.crashed[address] {
-		return crashwatch.ReachRefused
+		return crashwatch.ProbeRefused
 	}
-	return crashwatch.ReachOpen
+	return crashwatch.ProbeOpen
 }
 
 // newTestGateway returns a function that sends requests through a gateway with a tracker of its
@@ -63,7 +63,7 @@
 	var running sync.WaitGroup
 	running.Go(func() { tracker.Run(ctx) })
 	t.Cleanup(func() { cancel(); running.Wait() })
-	gateway := NewGateway(Options{Backend: pool, Directory: list, Tracker: tracker, Logger: zap.NewNop()})
+	gateway := NewGateway(Options{Backend: pool, Directory: list, Quarantine: tracker, Logger: zap.NewNop()})
 	route := &routetable.Route{Kind: kind, Resumable: true, MaxAttempts: 2, LatencyTarget: 50 * time.Millisecond, Targets: []routetable.Target{{Service: "svc", Weight: 1}}}
 	table := routetable.NewTable(1, []routetable.Route{*route}, nil, routetable.Limits{})
 	return func(body string) *httptest.ResponseRecorder {
