--- a/internal/crashwatch/probe.go
+++ b/internal/crashwatch/probe.go
@@ -113,7 +113,7 @@
 	if foundAt, found := t.ended[incarnation]; found {
 		return sentAt.After(foundAt)
 	}
-	endedAt, known := t.ledger.EndOf(incarnation)
+	endedAt, known := t.ledger.EndTime(incarnation)
 	return known && sentAt.After(endedAt.Add(reportedEndMargin))
 }
 
--- a/internal/crashwatch/share.go
+++ b/internal/crashwatch/share.go
@@ -68,7 +68,7 @@
 	for _, unsent := range t.unsent {
 		t.applyFindingLocked(unsent)
 	}
-	t.ledger.TakeTimes(before)
+	t.ledger.MergeTimes(before)
 	t.expireLocked(now, isCleaner)
 	t.updateLocked()
 	t.mutex.Unlock()
@@ -198,7 +198,7 @@
 func (t *Tracker) addEndsLocked(server directory.Incarnation, requests map[quarantine.Fingerprint]InFlightRequest) (added []quarantine.Fingerprint) {
 	for fingerprint, request := range requests {
 		end := quarantine.End{Fingerprint: fingerprint, Server: server, At: clock.Now(), Progressed: request.Progressed}
-		first := !t.ledger.Knows(fingerprint)
+		first := !t.ledger.HasEnds(fingerprint)
 		if !t.ledger.Add(end) {
 			continue
 		}
--- a/internal/crashwatch/sweep.go
+++ b/internal/crashwatch/sweep.go
@@ -25,7 +25,7 @@
 		}
 	}
 	t.confirmLocked(now, isCleaner)
-	changed := t.expireLocked(now, isCleaner) || t.ledger.HasUnclear()
+	changed := t.expireLocked(now, isCleaner) || t.ledger.HasAmbiguous()
 	t.updateLocked()
 	t.mutex.Unlock()
 	if changed {
@@ -56,6 +56,6 @@
 			t.enqueueRetractionLocked(confirmationOf(end.Fingerprint))
 		}
 	}
-	maps.DeleteFunc(t.localOnly, func(fingerprint quarantine.Fingerprint, _ bool) bool { return !t.ledger.Knows(fingerprint) })
+	maps.DeleteFunc(t.localOnly, func(fingerprint quarantine.Fingerprint, _ bool) bool { return !t.ledger.HasEnds(fingerprint) })
 	return len(expired) > 0
 }
--- a/internal/crashwatch/tracker.go
+++ b/internal/crashwatch/tracker.go
@@ -123,14 +123,14 @@
 }
 
 func (t *Tracker) suspicionLocked(fingerprint quarantine.Fingerprint) quarantine.Suspicion {
-	known := t.ledger.Suspicion(clock.Now(), fingerprint)
-	known.Held = known.Held || known.Unclear && t.trials[fingerprint]
+	suspicion := t.ledger.Suspicion(clock.Now(), fingerprint)
+	suspicion.Held = suspicion.Held || suspicion.Ambiguous && t.trials[fingerprint]
 	for _, broken := range t.brokenServers {
 		if broken.wasRunning(fingerprint) && broken.isProbing() {
-			known = known.WithUnsettled()
+			suspicion = suspicion.WithPossibleEnd()
 		}
 	}
-	return known
+	return suspicion
 }
 
 // Suspicions returns the suspicions of all suspected requests.
@@ -143,7 +143,7 @@
 			continue
 		}
 		for fingerprint := range broken.requests {
-			all[fingerprint] = all[fingerprint].WithUnsettled()
+			all[fingerprint] = all[fingerprint].WithPossibleEnd()
 		}
 	}
 	return all
@@ -172,7 +172,7 @@
 func (t *Tracker) HoldExpiry(fingerprint quarantine.Fingerprint) time.Time {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	return t.ledger.HoldEnds(fingerprint)
+	return t.ledger.HoldExpiry(fingerprint)
 }
 
 // InFlightRequest describes a request in flight at a server.
@@ -200,7 +200,7 @@
 		t.recordServerEndLocked(broken, evidenceReplaced)
 	}
 	t.updateLocked()
-	probing := t.suspicionLocked(fingerprint).Settling
+	probing := t.suspicionLocked(fingerprint).ProbePending
 	t.mutex.Unlock()
 	t.signal()
 	if probing {
@@ -296,12 +296,12 @@
 // updateLocked updates heldSince and active from the ledger.
 func (t *Tracker) updateLocked() {
 	for fingerprint := range t.heldSince {
-		if !t.ledger.Suspicion(clock.Now(), fingerprint).Proved {
+		if !t.ledger.Suspicion(clock.Now(), fingerprint).Proven {
 			delete(t.heldSince, fingerprint)
 			t.options.Logger.Info("request hold ended", zap.String("fingerprint", fingerprint.Short()))
 		}
 	}
-	for _, fingerprint := range t.ledger.Proved() {
+	for _, fingerprint := range t.ledger.ProvenRequests() {
 		if t.heldSince[fingerprint].IsZero() {
 			t.heldSince[fingerprint] = clock.Now()
 			t.logHeld(t.ledger.Case(fingerprint))
--- a/internal/crashwatch/tracker_test.go
+++ b/internal/crashwatch/tracker_test.go
@@ -82,7 +82,7 @@
 		for number := range 3 {
 			server := node.put(number)
 			node.RecordBreak(fingerprintNamed("d"), server, InFlightRequest{})
-			if number == 2 && !node.Suspicion(fingerprintNamed("d")).Settling {
+			if number == 2 && !node.Suspicion(fingerprintNamed("d")).ProbePending {
 				t.Error("no probe is pending for the third end")
 			}
 			node.AwaitProbes(t.Context(), fingerprintNamed("d"))
@@ -344,7 +344,7 @@
 		second := newNode()
 		time.Sleep(probeTime)
 		for number, node := range []*testNode{first, second} {
-			if !node.Suspicion(fingerprintNamed("d")).Proved {
+			if !node.Suspicion(fingerprintNamed("d")).Proven {
 				t.Errorf("node %d does not hold the proven request", number)
 			}
 		}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -286,7 +286,7 @@
 		return nil
 	}
 	suspicion := c.suspicionAfterProbes(ctx)
-	if suspicion.Held || suspicion.Unclear && !c.beginTrial() {
+	if suspicion.Held || suspicion.Ambiguous && !c.beginTrial() {
 		c.held = true
 		c.reason = reasonHeld
 		return nil
--- a/internal/gateway/suspicion.go
+++ b/internal/gateway/suspicion.go
@@ -35,7 +35,7 @@
 // request held. A wait of a fraction of a second saves one server.
 func (c *call) suspicionAfterProbes(ctx context.Context) quarantine.Suspicion {
 	suspicion := c.suspicion()
-	if !suspicion.Settling {
+	if !suspicion.ProbePending {
 		return suspicion
 	}
 	c.gateway.options.Quarantine.AwaitProbes(ctx, c.fingerprint())
--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/ledger.go
@@ -11,98 +11,100 @@
 	"dalehook/internal/placement"
 )
 
-// How many servers may end under a request before it is held. Each costs seconds of a server
-// and whatever else that one was running.
+// Number of servers that may end under a request before it is held. Each costs seconds of a server
+// and everything else that server was running.
 const (
-	// endsProved is the number of servers whose end is put down to the request alone: less
-	// would be chance where servers also crash by themselves. The users' limit is three more
-	// sends after the third end; a hold at the third leaves room for sends that were under way.
-	endsProved = 3
-	// endsProgressed is that number for a request that made events before a server ended: it may
-	// be a long one that met several crashes. It leaves one send of the users' limit.
-	endsProgressed = 5
-	// endsUnclear is the number from which on a request is delayed that shares its ends with
-	// others, so that nothing tells which of them it was. It runs apart from the others then, and
-	// one end of a server that ran nothing else suspected is enough.
-	endsUnclear = 5
+	// minEndsProven is the number of ends attributed to a request that prove it to be the cause:
+	// fewer may be chance, since servers also crash by themselves. Callers may cause at most three
+	// more sends after the third end; a hold at the third leaves room for sends already in flight.
+	minEndsProven = 3
+	// minEndsProgressed is the number for a request that produced events before a server ended: a
+	// long request may meet several unrelated crashes. It leaves one of the three sends.
+	minEndsProgressed = 5
+	// minEndsAmbiguous is the number from which on a request is delayed if it shares its ends with
+	// others, so that the cause is ambiguous. It then runs apart from the others, and a single end
+	// of a server that ran no other suspected request proves it.
+	minEndsAmbiguous = 5
 )
 
 const (
-	// unclearDelay is how long after its last end such a request waits at endsUnclear, on the mean;
-	// twice as long with each further end. Each waits for another time, so that one of them runs
-	// without the others, and is either answered or shown to be the cause; each node waits for
-	// another time beside that, so that one of them tries first.
-	unclearDelay = time.Second
-	// mostDoublings bounds that delay, at about a minute.
-	mostDoublings = 6
+	// ambiguousDelay is the mean delay of an ambiguous request after its last end, at
+	// minEndsAmbiguous; it doubles with each further end. Requests get different delays, so that
+	// one of them runs without the others and is either answered or proven to be the cause. Nodes
+	// also differ, so that one of them tries first.
+	ambiguousDelay = time.Second
+	// maxDelayDoublings bounds that delay at about a minute.
+	maxDelayDoublings = 6
 )
 
 const (
-	// forgetAfter is how long after the last end a request is forgotten. A wrong verdict costs
-	// its caller that request for as long; a right one costs three more servers each time that it
-	// is forgotten, at ten minutes one in 200 s.
-	forgetAfter = 10 * time.Minute
-	// mostEnds bounds the ends that are kept, some 200 bytes each. A crash of an engine brings
-	// as many as it has slots.
-	mostEnds = 8192
+	// retention is how long after its last end a request is forgotten. A wrong decision blocks a
+	// caller's request for that time; a right one costs three more servers each time it is
+	// forgotten, at ten minutes one in 200 s.
+	retention = 10 * time.Minute
+	// maxEnds bounds the ends in a ledger, at about 200 bytes each. A crash of an engine adds one
+	// per slot.
+	maxEnds = 8192
 )
 
-// End says that a server ended while it ran a request.
+// End records that a server ended while it ran a request.
 type End struct {
 	Fingerprint Fingerprint
 	Server      directory.Incarnation
-	// At is when the server had ended at the latest, by the clock of the node that keeps the end.
+	// At is the latest time at which the server can have ended, by the clock of the node that holds
+	// the ledger.
 	At time.Time
-	// Progressed says that the request had made events at the server.
+	// Progressed says that the request had produced events at the server.
 	Progressed bool
 }
 
 // Suspicion is what is known against a request.
 type Suspicion struct {
-	// Ends is the number of servers that ended under the request since it was last answered.
+	// Ends is the number of servers that ended under the request since its last response.
 	Ends int
-	// Settling says that one more end would have the request held, and that it is not yet known
-	// whether a server ended. It is to wait, which takes a fraction of a second.
-	Settling bool
-	// Held requests are not sent to servers: for long once Proved, else for a short delay.
+	// ProbePending says that one more end would have the request held, and that probes are still
+	// running. The request must wait for them, a fraction of a second.
+	ProbePending bool
+	// Held requests are not sent to servers: until the ends expire if Proven, else for a short
+	// delay.
 	Held   bool
-	Proved bool
-	// Unclear requests share their ends with others; each node runs one at a time.
-	Unclear bool
+	Proven bool
+	// Ambiguous requests share their ends with others; each node runs one at a time.
+	Ambiguous bool
 }
 
-// WithUnsettled returns the suspicion with one more server that may have ended.
-func (s Suspicion) WithUnsettled() Suspicion {
+// WithPossibleEnd returns the suspicion with one more server that may have ended.
+func (s Suspicion) WithPossibleEnd() Suspicion {
 	if s.Held {
 		return s
 	}
 	s.Ends++
-	s.Settling = s.Settling || s.Ends >= endsProved
+	s.ProbePending = s.ProbePending || s.Ends >= minEndsProven
 	return s
 }
 
-// Ledger folds which servers ended under which requests. It does no I/O and is not safe for
+// Ledger records which servers ended under which requests. It does no I/O and is not safe for
 // concurrent use.
 //
-// The end of a server implicates all that it was running, so a request is not held for being there:
-// of the requests under which a server ended, the end is put down to the one that most
-// servers ended under, and to none where several have as many. Any answer clears a request,
-// since one that is held crashes every server that begins to run it.
+// The end of a server implicates everything it was running, so one end is no evidence: it is
+// attributed to the request with the most ends among those the server was running, and to none if
+// several have as many. Any response clears a request, since a request that should be held crashes
+// every server that starts to run it.
 type Ledger struct {
-	// ends holds the ends of servers by request; suspects are the same ends by server.
+	// ends holds the ends by request; suspects holds the same ends by server.
 	ends     map[Fingerprint]map[directory.Incarnation]End
 	suspects map[directory.Incarnation]map[Fingerprint]bool
 	count    int
-	// confirmed are the requests whose proof has stood for a while. It stands until an answer clears
-	// it: later ends of others say nothing of the ends before.
+	// confirmed are the requests whose proof has stood for a while. It then stands until a response
+	// clears it: later ends of other requests say nothing about the earlier ends.
 	confirmed map[Fingerprint]bool
-	// node is the node that keeps the ledger.
+	// node is the node that holds the ledger.
 	node string
-	// evicted are the ends that gave way to newer ones and were not taken yet.
+	// evicted are the evicted ends that TakeEvicted has not returned yet.
 	evicted []End
 }
 
-// NewLedger returns the ledger of a node, without an end.
+// NewLedger returns an empty ledger of a node.
 func NewLedger(node string) *Ledger {
 	return &Ledger{
 		node: node, confirmed: make(map[Fingerprint]bool),
@@ -111,14 +113,14 @@
 	}
 }
 
-// Len returns the number of ends that are kept.
+// Len returns the number of recorded ends.
 func (l *Ledger) Len() int { return l.count }
 
-// Knows says whether any server has ended under a request, as far as is kept.
-func (l *Ledger) Knows(fingerprint Fingerprint) bool { return len(l.ends[fingerprint]) > 0 }
+// HasEnds reports whether an end of any server under the request is recorded.
+func (l *Ledger) HasEnds(fingerprint Fingerprint) bool { return len(l.ends[fingerprint]) > 0 }
 
-// Add takes the end of a server under a request; it returns false for one that is known, of which it keeps the
-// earlier time: neither is before the server ended.
+// Add records an end and returns true. For a known end it keeps the earlier time, as neither is
+// before the actual end, and returns false.
 func (l *Ledger) Add(end End) bool {
 	if known, found := l.ends[end.Fingerprint][end.Server]; found {
 		if end.At.Before(known.At) {
@@ -127,7 +129,7 @@
 		}
 		return false
 	}
-	if l.count >= mostEnds {
+	if l.count >= maxEnds {
 		l.evict()
 	}
 	if l.ends[end.Fingerprint] == nil {
@@ -142,9 +144,9 @@
 	return true
 }
 
-// Remove takes one end back.
+// Remove removes one end; it returns false if the end is unknown.
 func (l *Ledger) Remove(fingerprint Fingerprint, server directory.Incarnation) bool {
-	if _, known := l.ends[fingerprint][server]; !known {
+	if _, found := l.ends[fingerprint][server]; !found {
 		return false
 	}
 	delete(l.ends[fingerprint], server)
@@ -160,7 +162,7 @@
 	return true
 }
 
-// Clear forgets all that is known against a request and returns it, ordered by server.
+// Clear removes all ends of a request and returns them, ordered by server.
 func (l *Ledger) Clear(fingerprint Fingerprint) []End {
 	var cleared []End
 	for _, server := range l.serversOf(fingerprint) {
@@ -174,19 +176,19 @@
 	return slices.SortedFunc(maps.Keys(l.ends[fingerprint]), directory.Incarnation.Compare)
 }
 
-// evictShare is the part of the requests that are dropped at once where there are too many, so
-// that looking at all of them is rare.
-const evictShare = 8
+// evictDivisor is the inverse of the fraction of requests that are evicted at once, so that sorting
+// all of them is rare.
+const evictDivisor = 8
 
-// evict drops the requests that are suspected the least, and of equals those longest ago.
+// evict drops the least suspected requests; on ties, those whose last end is the oldest.
 func (l *Ledger) evict() {
 	ordered := slices.SortedFunc(maps.Keys(l.ends), l.compareSuspicion)
-	for _, fingerprint := range ordered[:(len(ordered)+evictShare-1)/evictShare] {
+	for _, fingerprint := range ordered[:(len(ordered)+evictDivisor-1)/evictDivisor] {
 		l.evicted = append(l.evicted, l.Clear(fingerprint)...)
 	}
 }
 
-// TakeEvicted returns the ends that gave way to newer ones since it was last called.
+// TakeEvicted returns the ends evicted since the last call.
 func (l *Ledger) TakeEvicted() []End {
 	taken := l.evicted
 	l.evicted = nil
@@ -201,7 +203,7 @@
 	)
 }
 
-// lastEnd returns when the last server ended under a request.
+// lastEnd returns the time of a request's last end.
 func (l *Ledger) lastEnd(fingerprint Fingerprint) time.Time {
 	var last time.Time
 	for _, end := range l.ends[fingerprint] {
@@ -212,9 +214,9 @@
 	return last
 }
 
-// EndOf returns when a server that ended under any of the requests had ended at the latest; known is false where it
-// did under none.
-func (l *Ledger) EndOf(server directory.Incarnation) (at time.Time, known bool) {
+// EndTime returns the latest time at which a server can have ended; known is false if it ended
+// under no request.
+func (l *Ledger) EndTime(server directory.Incarnation) (at time.Time, known bool) {
 	for fingerprint := range l.suspects[server] {
 		if end := l.ends[fingerprint][server]; !known || end.At.Before(at) {
 			at, known = end.At, true
@@ -223,57 +225,58 @@
 	return at, known
 }
 
-// TakeTimes keeps the times that another ledger of the same node has of the ends of this one, where they are earlier.
-func (l *Ledger) TakeTimes(of *Ledger) {
+// MergeTimes takes over the times of common ends from another ledger of the same node where they
+// are earlier.
+func (l *Ledger) MergeTimes(from *Ledger) {
 	for fingerprint, ends := range l.ends {
 		for server := range ends {
-			if known, found := of.ends[fingerprint][server]; found {
+			if known, found := from.ends[fingerprint][server]; found {
 				l.Add(known)
 			}
 		}
 	}
 }
 
-// Expire drops the requests under which no server has ended for long, and returns their ends.
+// Expire removes the requests whose last end is older than the retention, and returns their ends.
 func (l *Ledger) Expire(now time.Time) []End {
 	var expired []End
-	maps.DeleteFunc(l.confirmed, func(fingerprint Fingerprint, _ bool) bool { return !l.Knows(fingerprint) })
+	maps.DeleteFunc(l.confirmed, func(fingerprint Fingerprint, _ bool) bool { return !l.HasEnds(fingerprint) })
 	for fingerprint := range maps.Clone(l.ends) {
-		if now.Sub(l.lastEnd(fingerprint)) >= forgetAfter {
+		if now.Sub(l.lastEnd(fingerprint)) >= retention {
 			expired = append(expired, l.Clear(fingerprint)...)
 		}
 	}
 	return expired
 }
 
-// Suspicion returns what is known against a request at a time.
+// Suspicion returns the suspicion of a request at now.
 func (l *Ledger) Suspicion(now time.Time, fingerprint Fingerprint) Suspicion {
-	known := Suspicion{Ends: len(l.ends[fingerprint])}
-	if known.Ends < endsProved {
-		return known
+	suspicion := Suspicion{Ends: len(l.ends[fingerprint])}
+	if suspicion.Ends < minEndsProven {
+		return suspicion
 	}
-	known.Proved = l.isProved(fingerprint)
-	known.Unclear = !known.Proved && known.Ends >= endsUnclear
-	known.Held = known.Proved || known.Unclear && now.Before(l.HoldEnds(fingerprint))
-	return known
+	suspicion.Proven = l.isProven(fingerprint)
+	suspicion.Ambiguous = !suspicion.Proven && suspicion.Ends >= minEndsAmbiguous
+	suspicion.Held = suspicion.Proven || suspicion.Ambiguous && now.Before(l.HoldExpiry(fingerprint))
+	return suspicion
 }
 
-// isProved says whether the ends of servers are put down to a request.
-func (l *Ledger) isProved(fingerprint Fingerprint) bool {
+// isProven reports whether a request is proven to end servers.
+func (l *Ledger) isProven(fingerprint Fingerprint) bool {
 	ends := len(l.ends[fingerprint])
 	switch {
-	case ends < endsProved:
+	case ends < minEndsProven:
 		return false
 	case l.confirmed[fingerprint]:
 		return true
-	case ends >= endsUnclear && l.hasOwnEnd(fingerprint):
+	case ends >= minEndsAmbiguous && l.hasExclusiveEnd(fingerprint):
 		return true
 	}
-	return l.proved(fingerprint) >= l.needed(fingerprint)
+	return l.attributedEnds(fingerprint) >= l.requiredEnds(fingerprint)
 }
 
-// hasOwnEnd says whether a server ended that ran nothing else suspected.
-func (l *Ledger) hasOwnEnd(fingerprint Fingerprint) bool {
+// hasExclusiveEnd reports whether a server ended that ran no other suspected request.
+func (l *Ledger) hasExclusiveEnd(fingerprint Fingerprint) bool {
 	for server := range l.ends[fingerprint] {
 		if len(l.suspects[server]) == 1 {
 			return true
@@ -282,7 +285,7 @@
 	return false
 }
 
-// Confirm has a proof stand until the request is cleared; it returns false for one that does.
+// Confirm makes a proof stand until the request is cleared; it returns false if it already does.
 func (l *Ledger) Confirm(fingerprint Fingerprint) bool {
 	if l.confirmed[fingerprint] {
 		return false
@@ -291,13 +294,13 @@
 	return true
 }
 
-// IsConfirmed says whether a request's proof stands until it is cleared.
+// IsConfirmed reports whether the proof of a request stands until it is cleared.
 func (l *Ledger) IsConfirmed(fingerprint Fingerprint) bool { return l.confirmed[fingerprint] }
 
-// Unconfirm takes a confirmation back.
+// Unconfirm removes a confirmation.
 func (l *Ledger) Unconfirm(fingerprint Fingerprint) { delete(l.confirmed, fingerprint) }
 
-// Suspicions returns what is known against all requests.
+// Suspicions returns the suspicions of all requests.
 func (l *Ledger) Suspicions(now time.Time) map[Fingerprint]Suspicion {
 	all := make(map[Fingerprint]Suspicion, len(l.ends))
 	for fingerprint := range l.ends {
@@ -306,45 +309,44 @@
 	return all
 }
 
-// needed returns how many ends have a request held.
-func (l *Ledger) needed(fingerprint Fingerprint) int {
+// requiredEnds returns the number of attributed ends from which on a request is held.
+func (l *Ledger) requiredEnds(fingerprint Fingerprint) int {
 	for _, end := range l.ends[fingerprint] {
 		if end.Progressed {
-			return endsProgressed
+			return minEndsProgressed
 		}
 	}
-	return endsProved
+	return minEndsProven
 }
 
-func (l *Ledger) isUnclear(fingerprint Fingerprint) bool {
-	return len(l.ends[fingerprint]) >= endsUnclear && !l.isProved(fingerprint)
+func (l *Ledger) isAmbiguous(fingerprint Fingerprint) bool {
+	return len(l.ends[fingerprint]) >= minEndsAmbiguous && !l.isProven(fingerprint)
 }
 
-// HasUnclear says whether any request is delayed now and then, so that what is known against it
-// changes with time alone.
-func (l *Ledger) HasUnclear() bool {
+// HasAmbiguous reports whether any request is ambiguous, so that suspicions change with time alone.
+func (l *Ledger) HasAmbiguous() bool {
 	for fingerprint := range l.ends {
-		if l.isUnclear(fingerprint) {
+		if l.isAmbiguous(fingerprint) {
 			return true
 		}
 	}
 	return false
 }
 
-// proved returns how many ends are put down to a request.
-func (l *Ledger) proved(fingerprint Fingerprint) int {
-	proved := 0
+// attributedEnds returns the number of ends attributed to a request.
+func (l *Ledger) attributedEnds(fingerprint Fingerprint) int {
+	count := 0
 	for server := range l.ends[fingerprint] {
-		if l.isCause(fingerprint, server) {
-			proved++
+		if l.isMainSuspect(fingerprint, server) {
+			count++
 		}
 	}
-	return proved
+	return count
 }
 
-// isCause says whether more servers ended under a request than under each other one that a
-// server ended under, none of which is known to end servers.
-func (l *Ledger) isCause(fingerprint Fingerprint, server directory.Incarnation) bool {
+// isMainSuspect reports whether an end is attributed to a request: every other request that the
+// server was running has fewer ends and is not confirmed.
+func (l *Ledger) isMainSuspect(fingerprint Fingerprint, server directory.Incarnation) bool {
 	for other := range l.suspects[server] {
 		if other == fingerprint {
 			continue
@@ -356,32 +358,32 @@
 	return true
 }
 
-// HoldEnds returns when a hold of a request ends by itself.
-func (l *Ledger) HoldEnds(fingerprint Fingerprint) time.Time {
-	if l.isUnclear(fingerprint) {
-		return l.lastEnd(fingerprint).Add(l.delayOf(fingerprint))
+// HoldExpiry returns when the hold of a request expires.
+func (l *Ledger) HoldExpiry(fingerprint Fingerprint) time.Time {
+	if l.isAmbiguous(fingerprint) {
+		return l.lastEnd(fingerprint).Add(l.holdDelay(fingerprint))
 	}
-	return l.lastEnd(fingerprint).Add(forgetAfter)
+	return l.lastEnd(fingerprint).Add(retention)
 }
 
-// delayOf returns the delay of an unclear request: half to one and a half of the mean by the request and
-// its number of ends, and up to a mean more by the node.
-func (l *Ledger) delayOf(fingerprint Fingerprint) time.Duration {
+// holdDelay returns the delay of an ambiguous request: 0.5 to 1.5 times the mean, by the request
+// and its number of ends, plus up to one mean by the node.
+func (l *Ledger) holdDelay(fingerprint Fingerprint) time.Duration {
 	ends := len(l.ends[fingerprint])
-	mean := unclearDelay << min(ends-endsUnclear, mostDoublings)
+	mean := ambiguousDelay << min(ends-minEndsAmbiguous, maxDelayDoublings)
 	key := fingerprint.String() + strconv.Itoa(ends)
-	return time.Duration((0.5 + shareOf(key, "") + shareOf(key, l.node)) * float64(mean))
+	return time.Duration((0.5 + hashFraction(key, "") + hashFraction(key, l.node)) * float64(mean))
 }
 
-// shareOf returns a number from 0 up to 1 that differs for each key and holder.
-func shareOf(key, holder string) float64 {
-	return float64(placement.Score(holder, key)>>11) / (1 << 53)
+// hashFraction returns a pseudorandom number in [0, 1) for a key and a node.
+func hashFraction(key, node string) float64 {
+	return float64(placement.Score(node, key)>>11) / (1 << 53)
 }
 
-// Case is a request that servers ended under, for operators.
+// Case is a request under which servers ended, for operators.
 type Case struct {
 	Fingerprint Fingerprint
-	// Held says that the request is held for good, as far as nodes go.
+	// Held says that the request is held until its ends expire.
 	Held bool
 	// Ends are ordered by time.
 	Ends []End
@@ -398,21 +400,21 @@
 
 // Case returns what is known against a request.
 func (l *Ledger) Case(fingerprint Fingerprint) Case {
-	known := Case{Fingerprint: fingerprint, Held: l.isProved(fingerprint)}
+	result := Case{Fingerprint: fingerprint, Held: l.isProven(fingerprint)}
 	for _, server := range l.serversOf(fingerprint) {
-		known.Ends = append(known.Ends, l.ends[fingerprint][server])
+		result.Ends = append(result.Ends, l.ends[fingerprint][server])
 	}
-	slices.SortStableFunc(known.Ends, func(a, b End) int { return a.At.Compare(b.At) })
-	return known
+	slices.SortStableFunc(result.Ends, func(a, b End) int { return a.At.Compare(b.At) })
+	return result
 }
 
-// Proved returns the requests that are held for good, as far as nodes go.
-func (l *Ledger) Proved() []Fingerprint {
-	var proved []Fingerprint
+// ProvenRequests returns the requests that are held until their ends expire.
+func (l *Ledger) ProvenRequests() []Fingerprint {
+	var proven []Fingerprint
 	for fingerprint, ends := range l.ends {
-		if len(ends) >= endsProved && l.isProved(fingerprint) {
-			proved = append(proved, fingerprint)
+		if len(ends) >= minEndsProven && l.isProven(fingerprint) {
+			proven = append(proven, fingerprint)
 		}
 	}
-	return proved
+	return proven
 }
--- a/internal/quarantine/ledger_test.go
+++ b/internal/quarantine/ledger_test.go
@@ -11,44 +11,45 @@
 
 var start = time.Unix(1_800_000_000, 0)
 
-func named(name string) Fingerprint { return FingerprintOf(Identity{Target: name}) }
+func fingerprintNamed(name string) Fingerprint { return FingerprintOf(Identity{Target: name}) }
 
-func life(number int) directory.Incarnation {
+func incarnation(number int) directory.Incarnation {
 	return directory.Incarnation{ID: "i", Born: int64(number)}
 }
 
-// ledgerOf folds ends: each entry holds the requests under which one more server ended.
-func ledgerOf(ends ...[]string) *Ledger {
+// newLedgerWith returns a ledger in which each entry lists the requests under which one server
+// ended.
+func newLedgerWith(ends ...[]string) *Ledger {
 	l := NewLedger("n")
 	for number, names := range ends {
 		for _, name := range names {
-			l.Add(End{Fingerprint: named(name), Server: life(number), At: start.Add(time.Duration(number) * time.Second)})
+			l.Add(End{Fingerprint: fingerprintNamed(name), Server: incarnation(number), At: start.Add(time.Duration(number) * time.Second)})
 		}
 	}
 	return l
 }
 
-func TestTheCauseOfEndsIsHeld(t *testing.T) {
+func TestCauseOfEndsIsHeld(t *testing.T) {
 	cases := []struct {
 		name string
 		ends [][]string
 		held map[string]bool
 	}{
 		{"two ends prove nothing", [][]string{{"d"}, {"d"}}, nil},
-		{"three do", [][]string{{"d"}, {"d"}, {"d"}}, map[string]bool{"d": true}},
-		{"others that were there once are not held", [][]string{{"d", "a"}, {"d", "b"}, {"d", "c"}}, map[string]bool{"d": true}},
-		{"one that was there twice is not", [][]string{{"d", "a"}, {"d", "a"}, {"d"}}, map[string]bool{"d": true}},
-		{"two that were always there are told apart by the next end", [][]string{{"d", "a"}, {"d", "a"}, {"d", "a"}}, nil},
-		{"which shows the cause", [][]string{{"d", "a"}, {"d", "a"}, {"d", "a"}, {"d"}}, map[string]bool{"d": true}},
+		{"three ends prove the cause", [][]string{{"d"}, {"d"}, {"d"}}, map[string]bool{"d": true}},
+		{"requests implicated once are not held", [][]string{{"d", "a"}, {"d", "b"}, {"d", "c"}}, map[string]bool{"d": true}},
+		{"a request implicated twice is not held", [][]string{{"d", "a"}, {"d", "a"}, {"d"}}, map[string]bool{"d": true}},
+		{"two requests with equal ends are not held", [][]string{{"d", "a"}, {"d", "a"}, {"d", "a"}}, nil},
+		{"one more end proves one of two", [][]string{{"d", "a"}, {"d", "a"}, {"d", "a"}, {"d"}}, map[string]bool{"d": true}},
 		{"two causes are both held", [][]string{{"d"}, {"e"}, {"d", "e"}, {"d"}, {"e"}, {"e"}, {"d"}}, map[string]bool{"d": true, "e": true}},
-		{"from five on, one end of its own shows a cause", [][]string{{"d", "a"}, {"d", "a"}, {"d", "a"}, {"d", "a"}, {"d", "a"}, {"a"}}, map[string]bool{"a": true, "d": true}},
-		{"what can not be told apart is delayed at five", [][]string{{"d", "a"}, {"d", "a"}, {"d", "a"}, {"d", "a"}, {"d", "a"}}, map[string]bool{"d": true, "a": true}},
+		{"from five ends on, one exclusive end proves the cause", [][]string{{"d", "a"}, {"d", "a"}, {"d", "a"}, {"d", "a"}, {"d", "a"}, {"a"}}, map[string]bool{"a": true, "d": true}},
+		{"two requests with five equal ends are delayed", [][]string{{"d", "a"}, {"d", "a"}, {"d", "a"}, {"d", "a"}, {"d", "a"}}, map[string]bool{"d": true, "a": true}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			l := ledgerOf(c.ends...)
+			l := newLedgerWith(c.ends...)
 			for _, name := range []string{"a", "b", "c", "d", "e"} {
-				if got := l.Suspicion(start, named(name)); got.Held != c.held[name] {
+				if got := l.Suspicion(start, fingerprintNamed(name)); got.Held != c.held[name] {
 					t.Errorf("%s: %+v", name, got)
 				}
 			}
@@ -56,217 +57,218 @@
 	}
 }
 
-// Two requests that always ended servers together wait for different times, so that one of them runs
-// without the other. Nothing is proved against either.
-func TestWhatIsUnclearIsDelayed(t *testing.T) {
-	l := ledgerOf([]string{"d", "a"}, []string{"d", "a"}, []string{"d", "a"}, []string{"d", "a"}, []string{"d", "a"})
+// Two requests that always ended servers together get different delays, so that one of them runs
+// without the other. Neither is proven.
+func TestAmbiguousRequestsAreDelayed(t *testing.T) {
+	l := newLedgerWith([]string{"d", "a"}, []string{"d", "a"}, []string{"d", "a"}, []string{"d", "a"}, []string{"d", "a"})
 	last := start.Add(4 * time.Second)
 	for _, name := range []string{"a", "d"} {
-		ends := l.HoldEnds(named(name))
-		if wait := ends.Sub(last); wait < unclearDelay/2 || wait > 5*unclearDelay/2 {
-			t.Errorf("%s waits %v", name, wait)
+		expiry := l.HoldExpiry(fingerprintNamed(name))
+		if wait := expiry.Sub(last); wait < ambiguousDelay/2 || wait > 5*ambiguousDelay/2 {
+			t.Errorf("%s: delay %v", name, wait)
 		}
-		if known := l.Suspicion(ends.Add(-1), named(name)); !known.Held || known.Proved {
-			t.Errorf("%s before: %+v", name, known)
+		if suspicion := l.Suspicion(expiry.Add(-1), fingerprintNamed(name)); !suspicion.Held || suspicion.Proven {
+			t.Errorf("%s before the delay ends: %+v", name, suspicion)
 		}
-		if known := l.Suspicion(ends, named(name)); known.Held {
-			t.Errorf("%s after: %+v", name, known)
+		if suspicion := l.Suspicion(expiry, fingerprintNamed(name)); suspicion.Held {
+			t.Errorf("%s after the delay: %+v", name, suspicion)
 		}
 	}
-	if l.HoldEnds(named("a")).Equal(l.HoldEnds(named("d"))) {
-		t.Error("both wait for the same time")
+	if l.HoldExpiry(fingerprintNamed("a")).Equal(l.HoldExpiry(fingerprintNamed("d"))) {
+		t.Error("both have the same delay")
 	}
-	l.Clear(named("a"))
-	if known := l.Suspicion(start, named("d")); !known.Proved {
-		t.Errorf("once the other was answered: %+v", known)
+	l.Clear(fingerprintNamed("a"))
+	if suspicion := l.Suspicion(start, fingerprintNamed("d")); !suspicion.Proven {
+		t.Errorf("after a response to the other request: %+v", suspicion)
 	}
 }
 
-// Two causes that ended servers together: the one that is known stays so when the other ends servers
-// alone, and that one's own ends count.
-func TestAConfirmedProofStands(t *testing.T) {
-	l := ledgerOf([]string{"d", "e"}, []string{"d", "e"}, []string{"d", "e"}, []string{"d"})
-	if !l.Suspicion(start, named("d")).Proved || l.Suspicion(start, named("e")).Proved {
-		t.Fatal("the one with more ends is not the cause")
+// Of two causes that ended servers together, the confirmed one stays confirmed when the other ends
+// servers alone, and the ends of that one alone count.
+func TestConfirmationPersists(t *testing.T) {
+	l := newLedgerWith([]string{"d", "e"}, []string{"d", "e"}, []string{"d", "e"}, []string{"d"})
+	if !l.Suspicion(start, fingerprintNamed("d")).Proven || l.Suspicion(start, fingerprintNamed("e")).Proven {
+		t.Fatal("not exactly the request with more ends is proven")
 	}
-	if !l.Confirm(named("d")) || l.Confirm(named("d")) {
-		t.Error("a proof is confirmed once")
+	if !l.Confirm(fingerprintNamed("d")) || l.Confirm(fingerprintNamed("d")) {
+		t.Error("Confirm did not return true exactly once")
 	}
-	l.Add(End{Fingerprint: named("e"), Server: life(10), At: start})
+	l.Add(End{Fingerprint: fingerprintNamed("e"), Server: incarnation(10), At: start})
 	for _, name := range []string{"d", "e"} {
-		if known := l.Suspicion(start, named(name)); known.Proved != (name == "d") {
-			t.Errorf("%s after an end of the other alone: %+v", name, known)
+		if suspicion := l.Suspicion(start, fingerprintNamed(name)); suspicion.Proven != (name == "d") {
+			t.Errorf("%s after an exclusive end of e: %+v", name, suspicion)
 		}
 	}
-	l.Add(End{Fingerprint: named("e"), Server: life(11), At: start})
-	if known := l.Suspicion(start, named("e")); !known.Proved {
-		t.Errorf("the other one, at five ends of which two are its own: %+v", known)
+	l.Add(End{Fingerprint: fingerprintNamed("e"), Server: incarnation(11), At: start})
+	if suspicion := l.Suspicion(start, fingerprintNamed("e")); !suspicion.Proven {
+		t.Errorf("e with five ends, two of them exclusive: %+v", suspicion)
 	}
-	l.Clear(named("d"))
-	if known := l.Suspicion(start, named("d")); known != (Suspicion{}) || l.IsConfirmed(named("d")) {
-		t.Errorf("after an answer: %+v", known)
+	l.Clear(fingerprintNamed("d"))
+	if suspicion := l.Suspicion(start, fingerprintNamed("d")); suspicion != (Suspicion{}) || l.IsConfirmed(fingerprintNamed("d")) {
+		t.Errorf("after a response: %+v", suspicion)
 	}
 }
 
-// Nodes try an unclear request one after the other.
-func TestEachNodeDelaysForAnotherTime(t *testing.T) {
+// Nodes try an ambiguous request one after the other.
+func TestDelayDiffersBetweenNodes(t *testing.T) {
 	delays := make(map[time.Time]bool)
 	for _, node := range []string{"n1", "n2", "n3"} {
 		l := NewLedger(node)
-		for number := range endsUnclear {
+		for number := range minEndsAmbiguous {
 			for _, name := range []string{"a", "d"} {
-				l.Add(End{Fingerprint: named(name), Server: life(number), At: start})
+				l.Add(End{Fingerprint: fingerprintNamed(name), Server: incarnation(number), At: start})
 			}
 		}
-		delays[l.HoldEnds(named("d"))] = true
+		delays[l.HoldExpiry(fingerprintNamed("d"))] = true
 	}
 	if len(delays) != 3 {
-		t.Errorf("%d different times at three nodes", len(delays))
+		t.Errorf("%d different delays at three nodes", len(delays))
 	}
 }
 
-// A long request that makes events may meet several crashes.
-func TestARequestThatMakesEventsIsHeldLater(t *testing.T) {
+// A long request that produces events may meet several unrelated crashes.
+func TestProgressedRequestIsHeldLater(t *testing.T) {
 	l := NewLedger("n")
-	for number := range endsProgressed {
-		if known := l.Suspicion(start, named("d")); known.Held {
+	for number := range minEndsProgressed {
+		if suspicion := l.Suspicion(start, fingerprintNamed("d")); suspicion.Held {
 			t.Errorf("held after %d ends", number)
 		}
-		l.Add(End{Fingerprint: named("d"), Server: life(number), At: start, Progressed: number == 1})
+		l.Add(End{Fingerprint: fingerprintNamed("d"), Server: incarnation(number), At: start, Progressed: number == 1})
 	}
-	if known := l.Suspicion(start, named("d")); !known.Proved {
-		t.Errorf("%+v", known)
+	if suspicion := l.Suspicion(start, fingerprintNamed("d")); !suspicion.Proven {
+		t.Errorf("%+v", suspicion)
 	}
 }
 
-func TestAnAnswerClears(t *testing.T) {
-	l := ledgerOf([]string{"d", "a"}, []string{"d", "a"}, []string{"d", "a"})
-	if cleared := l.Clear(named("a")); len(cleared) != 3 {
+func TestClearRemovesSuspicion(t *testing.T) {
+	l := newLedgerWith([]string{"d", "a"}, []string{"d", "a"}, []string{"d", "a"})
+	if cleared := l.Clear(fingerprintNamed("a")); len(cleared) != 3 {
 		t.Errorf("cleared %v", cleared)
 	}
-	if got := l.Suspicion(start, named("a")); got != (Suspicion{}) {
-		t.Errorf("after an answer: %+v", got)
+	if got := l.Suspicion(start, fingerprintNamed("a")); got != (Suspicion{}) {
+		t.Errorf("after a response: %+v", got)
 	}
-	if !l.Suspicion(start, named("d")).Held {
-		t.Error("the one that is left is not held")
+	if !l.Suspicion(start, fingerprintNamed("d")).Held {
+		t.Error("the remaining request is not held")
 	}
 }
 
-func TestOneEndCountsOnce(t *testing.T) {
+func TestDuplicateEndIsIgnored(t *testing.T) {
 	l := NewLedger("n")
-	end := End{Fingerprint: named("d"), Server: life(1), At: start}
+	end := End{Fingerprint: fingerprintNamed("d"), Server: incarnation(1), At: start}
 	if !l.Add(end) || l.Add(end) || l.Len() != 1 {
 		t.Errorf("%d ends", l.Len())
 	}
 	again := end
 	again.Server.Born++
-	if !l.Add(again) || l.Suspicion(start, named("d")).Ends != 2 {
-		t.Error("a later life of the same server is taken for the same one")
+	if !l.Add(again) || l.Suspicion(start, fingerprintNamed("d")).Ends != 2 {
+		t.Error("the end of a later incarnation was not counted")
 	}
 	if !l.Remove(end.Fingerprint, end.Server) || l.Remove(end.Fingerprint, end.Server) {
-		t.Error("an end is taken back once")
+		t.Error("Remove did not return true exactly once")
 	}
 }
 
-func TestEndsAreForgotten(t *testing.T) {
-	l := ledgerOf([]string{"d"}, []string{"d"}, []string{"d"})
+func TestEndsExpire(t *testing.T) {
+	l := newLedgerWith([]string{"d"}, []string{"d"}, []string{"d"})
 	last := start.Add(2 * time.Second)
-	if expired := l.Expire(last.Add(forgetAfter - 1)); len(expired) != 0 {
-		t.Errorf("forgotten early: %v", expired)
+	if expired := l.Expire(last.Add(retention - 1)); len(expired) != 0 {
+		t.Errorf("expired early: %v", expired)
 	}
-	if ends := l.HoldEnds(named("d")); !ends.Equal(last.Add(forgetAfter)) {
-		t.Errorf("the hold ends at %v", ends)
+	if ends := l.HoldExpiry(fingerprintNamed("d")); !ends.Equal(last.Add(retention)) {
+		t.Errorf("hold expires at %v", ends)
 	}
-	if expired := l.Expire(last.Add(forgetAfter)); len(expired) != 3 || l.Len() != 0 {
-		t.Errorf("forgotten: %v", expired)
+	if expired := l.Expire(last.Add(retention)); len(expired) != 3 || l.Len() != 0 {
+		t.Errorf("expired: %v", expired)
 	}
 }
 
-// Whatever comes, the ledger's size is bounded, and what is proved stays.
-func TestTheLedgerIsBounded(t *testing.T) {
-	l := ledgerOf([]string{"d"}, []string{"d"}, []string{"d"})
-	for number := range 2 * mostEnds {
-		l.Add(End{Fingerprint: named(fmt.Sprint(number)), Server: life(number), At: start.Add(time.Hour)})
+// The size of the ledger is bounded, and proven requests are not evicted.
+func TestLedgerSizeIsBounded(t *testing.T) {
+	l := newLedgerWith([]string{"d"}, []string{"d"}, []string{"d"})
+	for number := range 2 * maxEnds {
+		l.Add(End{Fingerprint: fingerprintNamed(fmt.Sprint(number)), Server: incarnation(number), At: start.Add(time.Hour)})
 	}
-	if l.Len() > mostEnds {
+	if l.Len() > maxEnds {
 		t.Errorf("%d ends", l.Len())
 	}
-	if !l.Suspicion(start, named("d")).Held {
-		t.Error("a held request was dropped")
+	if !l.Suspicion(start, fingerprintNamed("d")).Held {
+		t.Error("a held request was evicted")
 	}
 }
 
-// crowd is a fleet in which servers end by themselves and under deadly requests, while harmless
-// ones run: some always, some long, some rarely.
-type crowd struct {
-	random  *rand.Rand
-	ledger  *Ledger
-	servers [][]string
-	lives   int
-	deadly  map[string]int
+// fleet simulates servers that crash by themselves and under crashing requests, while harmless
+// requests run: some always, some for long, some rarely.
+type fleet struct {
+	random   *rand.Rand
+	ledger   *Ledger
+	servers  [][]string
+	crashes  int
+	crashing map[string]int
 }
 
-// step has a request run on a server that is chosen as a node does, and perhaps end it.
-func (c *crowd) step(name string) {
-	if c.ledger.Suspicion(start, named(name)).Held {
+// run starts a request on a random server, unless it is held; a crashing request crashes that
+// server.
+func (f *fleet) run(name string) {
+	if f.ledger.Suspicion(start, fingerprintNamed(name)).Held {
 		return
 	}
-	at := c.random.IntN(len(c.servers))
-	c.servers[at] = append(c.servers[at], name)
-	if _, deadly := c.deadly[name]; deadly {
-		c.deadly[name]++
-		c.end(at)
+	server := f.random.IntN(len(f.servers))
+	f.servers[server] = append(f.servers[server], name)
+	if _, crashing := f.crashing[name]; crashing {
+		f.crashing[name]++
+		f.crash(server)
 	}
 }
 
-// end ends a server with all that it runs.
-func (c *crowd) end(at int) {
-	c.lives++
-	for _, name := range c.servers[at] {
-		c.ledger.Add(End{Fingerprint: named(name), Server: life(c.lives), At: start})
+// crash ends a server with everything it runs.
+func (f *fleet) crash(server int) {
+	f.crashes++
+	for _, name := range f.servers[server] {
+		f.ledger.Add(End{Fingerprint: fingerprintNamed(name), Server: incarnation(f.crashes), At: start})
 	}
-	c.servers[at] = nil
+	f.servers[server] = nil
 }
 
-// answer has a server answer the first of its requests.
-func (c *crowd) answer(at int) {
-	if len(c.servers[at]) > 0 {
-		c.ledger.Clear(named(c.servers[at][0]))
-		c.servers[at] = c.servers[at][1:]
+// respond has a server answer the first of its requests.
+func (f *fleet) respond(server int) {
+	if len(f.servers[server]) > 0 {
+		f.ledger.Clear(fingerprintNamed(f.servers[server][0]))
+		f.servers[server] = f.servers[server][1:]
 	}
 }
 
-// A harmless request is never held, though servers crash beside it all the time and one of them
-// is always under way; each deadly one ends five servers at the most.
+// A harmless request is never held, although servers crash all the time and one harmless request is
+// always in flight; each crashing request ends at most five servers.
 func TestHarmlessRequestsAreNeverHeld(t *testing.T) {
 	for seed := range uint64(100) {
-		c := &crowd{
+		f := &fleet{
 			random: rand.New(rand.NewPCG(seed, 1)), ledger: NewLedger("n"), servers: make([][]string, 8),
-			deadly: map[string]int{"deadly 1": 0, "deadly 2": 0},
+			crashing: map[string]int{"crashing 1": 0, "crashing 2": 0},
 		}
 		harmless := []string{"always", "often", "long 1", "long 2"}
 		for number := range 2000 {
-			c.step("always")
+			f.run("always")
 			if number%7 == 0 {
-				c.step(harmless[c.random.IntN(len(harmless))])
+				f.run(harmless[f.random.IntN(len(harmless))])
 			}
 			if number%50 == 0 {
-				c.step([]string{"deadly 1", "deadly 2"}[c.random.IntN(2)])
+				f.run([]string{"crashing 1", "crashing 2"}[f.random.IntN(2)])
 			}
 			if number%60 == 0 {
-				c.end(c.random.IntN(len(c.servers)))
+				f.crash(f.random.IntN(len(f.servers)))
 			}
 			for range 2 {
-				c.answer(c.random.IntN(len(c.servers)))
+				f.respond(f.random.IntN(len(f.servers)))
 			}
 			for _, name := range harmless {
-				if c.ledger.Suspicion(start, named(name)).Held {
+				if f.ledger.Suspicion(start, fingerprintNamed(name)).Held {
 					t.Fatalf("seed %d, step %d: %q is held", seed, number, name)
 				}
 			}
 		}
-		for name, ended := range c.deadly {
-			if ended > endsUnclear {
+		for name, ended := range f.crashing {
+			if ended > minEndsAmbiguous {
 				t.Errorf("seed %d: %q ended %d servers", seed, name, ended)
 			}
 		}
--- a/internal/scheduler/suspicions.go
+++ b/internal/scheduler/suspicions.go
@@ -57,7 +57,7 @@
 // mayRunNow says whether an item may run anywhere: the same one runs once at a time, and none
 // whose next end would have it held while an end is not settled.
 func (m *Machine) mayRunNow(next *item, known quarantine.Suspicion) bool {
-	return known.Ends < apartFrom || !known.Settling && !known.Held && !m.runsElsewhere(next)
+	return known.Ends < apartFrom || !known.ProbePending && !known.Held && !m.runsElsewhere(next)
 }
 
 // runsElsewhere says whether the same item runs already: for another job, or as another sample.
--- a/internal/scheduler/suspicions_test.go
+++ b/internal/scheduler/suspicions_test.go
@@ -37,7 +37,7 @@
 
 func TestAHeldItemKeepsNothingWaiting(t *testing.T) {
 	f := newFixture(t, nil)
-	f.suspect(map[string]quarantine.Suspicion{"deadly": {Ends: 3, Held: true, Proved: true}})
+	f.suspect(map[string]quarantine.Suspicion{"deadly": {Ends: 3, Held: true, Proven: true}})
 	f.servers(1, map[string]int64{"a": 1})
 	f.bodies("j", "deadly", "harmless")
 	if at := f.running(); len(at) != 1 || at["j-harmless"] != "a" {
@@ -69,7 +69,7 @@
 func TestSuspectsRunApartAndOnceAtATime(t *testing.T) {
 	f := newFixture(t, nil)
 	twice := quarantine.Suspicion{Ends: 2}
-	f.suspect(map[string]quarantine.Suspicion{"s1": twice, "s2": twice, "s3": {Ends: 2, Settling: true}, "once": {Ends: 1}})
+	f.suspect(map[string]quarantine.Suspicion{"s1": twice, "s2": twice, "s3": {Ends: 2, ProbePending: true}, "once": {Ends: 1}})
 	f.servers(4, map[string]int64{"a": 1, "b": 1})
 	f.bodies("j", "s1", "s2", "s3", "once", "harmless")
 	at := f.running()
