--- a/internal/frontend/node.go
+++ b/internal/frontend/node.go
@@ -267,7 +267,7 @@
 	if table == nil {
 		return nil
 	}
-	return table.ServesSingle
+	return table.ServesSingleRequests
 }
 
 // warmingServers returns how many of the listed servers are slow since they started.
--- a/internal/reward/queue.go
+++ b/internal/reward/queue.go
@@ -161,7 +161,7 @@
 	if route == nil || route.Kind != routetable.KindSafe && route.Kind != routetable.KindUnsafe {
 		return
 	}
-	if target, found := route.PickFor(routed.call.ID); found {
+	if target, found := route.PickByHash(routed.call.ID); found {
 		routed.route, routed.service = route, target.Service
 	}
 }
--- a/internal/routetable/access.go
+++ b/internal/routetable/access.go
@@ -1,15 +1,15 @@
 package routetable
 
-// Caller is on whose behalf a request runs.
+// Caller identifies the tenant and priority of a request.
 type Caller struct {
-	// Tenant is empty where no key is asked for and none is known.
+	// Tenant is empty for anonymous requests.
 	Tenant string
-	// Priority ranks the request, 0 being the most urgent.
+	// Priority ranks the request; 0 is the most urgent.
 	Priority int
 }
 
-// Admit says on whose behalf a request of a route runs whose caller bears a key. It is
-// refused where the route asks for a key, and this one is not known.
+// Admit returns the caller of a request with an API key. The request is refused if the route
+// requires a key and this one is unknown.
 func (t *Table) Admit(route *Route, key string) (caller Caller, admitted bool) {
 	caller = Caller{Priority: route.Priority}
 	if t.Tenants == nil {
@@ -24,20 +24,21 @@
 	return caller, true
 }
 
-// PriorityOf returns the rank of a tenant's requests on a route: the tenant's own goes
-// before the route's.
+// PriorityOf returns the priority of a tenant's requests on a route: the tenant's own priority
+// overrides the route's.
 func (t *Table) PriorityOf(route *Route, tenantName string) int {
 	if t.Tenants == nil {
 		return route.Priority
 	}
-	if own, has := t.Tenants.Priority(tenantName); has {
+	if own, found := t.Tenants.Priority(tenantName); found {
 		return own
 	}
 	return route.Priority
 }
 
-// AdmitToJobs says on whose behalf batch jobs of a host are read and ended by a caller that
-// bears a key. Jobs of public routes alone belong to nobody.
+// AdmitToJobs returns the tenant whose batch jobs on a host a caller with an API key may read and
+// end. Without a known key, that is the empty tenant if the host has a public batch route; else the
+// caller is refused.
 func (t *Table) AdmitToJobs(host, key string) (tenantName string, admitted bool) {
 	if t.Tenants == nil {
 		return "", true
--- a/internal/routetable/access_test.go
+++ b/internal/routetable/access_test.go
@@ -32,14 +32,14 @@
 		want            Caller
 		admitted        bool
 	}{
-		{"a known key", "/closed/1", "p", false, Caller{Tenant: "plain", Priority: 2}, true},
-		{"the tenant's priority goes first", "/closed/1", "u", false, Caller{Tenant: "urgent", Priority: 0}, true},
-		{"an unknown key", "/closed/1", "x", false, Caller{Priority: 2}, false},
+		{"known key", "/closed/1", "p", false, Caller{Tenant: "plain", Priority: 2}, true},
+		{"tenant priority overrides the route's", "/closed/1", "u", false, Caller{Tenant: "urgent", Priority: 0}, true},
+		{"unknown key", "/closed/1", "x", false, Caller{Priority: 2}, false},
 		{"no key", "/closed/1", "", false, Caller{Priority: 2}, false},
 		{"no key on a public route", "/open/1", "", false, Caller{Priority: 2}, true},
-		{"an unknown key on a public route", "/open/1", "x", false, Caller{Priority: 2}, true},
-		{"a known key on a public route", "/open/1", "p", false, Caller{Tenant: "plain", Priority: 2}, true},
-		{"no keys are asked for", "/closed/1", "x", true, Caller{Priority: 2}, true},
+		{"unknown key on a public route", "/open/1", "x", false, Caller{Priority: 2}, true},
+		{"known key on a public route", "/open/1", "p", false, Caller{Tenant: "plain", Priority: 2}, true},
+		{"API keys disabled", "/closed/1", "x", true, Caller{Priority: 2}, true},
 	}
 	for _, c := range cases {
 		tenants := twoTenants()
@@ -59,12 +59,12 @@
 		name, host, key, want string
 		admitted              bool
 	}{
-		{"a known key", "h", "p", "plain", true},
-		{"an unknown key", "h", "x", "", false},
+		{"known key", "h", "p", "plain", true},
+		{"unknown key", "h", "x", "", false},
 		{"no key", "h:80", "", "", false},
-		{"no key where jobs are public", "OPEN:80", "", "", true},
-		{"a known key where jobs are public", "open", "u", "urgent", true},
-		{"a host without routes", "nowhere", "", "", false},
+		{"no key with a public batch route", "OPEN:80", "", "", true},
+		{"known key with a public batch route", "open", "u", "urgent", true},
+		{"host without routes", "nowhere", "", "", false},
 	}
 	table := accessTable(twoTenants())
 	for _, c := range cases {
@@ -77,8 +77,7 @@
 	}
 }
 
-// BenchmarkAdmit judges a request of one of 60 routes: without tenants, and with a key of one
-// of 1,000.
+// BenchmarkAdmit admits a request of one of 60 routes: without tenants, and with one of 1,000 keys.
 func BenchmarkAdmit(b *testing.B) {
 	var tenants []tenant.Tenant
 	for i := range 1000 {
@@ -96,7 +95,7 @@
 			for b.Loop() {
 				route := table.Match("h", "/r59/x")
 				if _, admitted := table.Admit(route, tenants[7].Keys[0]); !admitted {
-					b.Fatal("a key is not known")
+					b.Fatal("known key was refused")
 				}
 			}
 		})
--- a/internal/routetable/routetable.go
+++ b/internal/routetable/routetable.go
@@ -1,5 +1,5 @@
-// Package routetable holds the configuration in force: routes by host and path
-// prefix, the services they lead to, and the limits on callers.
+// Package routetable holds the active configuration: routes by host and path prefix, the services
+// they target, and the limits on callers.
 package routetable
 
 import (
@@ -11,18 +11,18 @@
 	"dalehook/internal/tenant"
 )
 
-// Kind says what may be done with a route's requests.
+// Kind determines how requests of a route may be executed.
 type Kind int
 
-// The kinds of route.
+// Kinds of routes.
 const (
 	// KindSafe requests may run more than once.
 	KindSafe Kind = iota
 	// KindUnsafe requests run at most once.
 	KindUnsafe
-	// KindStream requests are answered by a series of events.
+	// KindStream requests are answered with an event stream.
 	KindStream
-	// KindBatch routes take batch jobs.
+	// KindBatch routes accept batch jobs.
 	KindBatch
 )
 
@@ -31,14 +31,14 @@
 	return [...]string{"safe", "unsafe", "stream", "batch"}[k]
 }
 
-// Target is one part of a route's split.
+// Target is one weighted target of a route.
 type Target struct {
 	Service string
-	// Weight is relative to the other targets of the route.
+	// Weight is relative to the weights of the route's other targets.
 	Weight float64
 }
 
-// Route leads requests to services.
+// Route directs requests to services.
 type Route struct {
 	Name string
 	Host string
@@ -46,29 +46,29 @@
 	Prefix  string
 	Kind    Kind
 	Targets []Target
-	// Timeout is the longest that a request is held; 0 means no bound.
+	// Timeout is the longest time a request may take; 0 means no limit.
 	Timeout time.Duration
-	// LatencyTarget is the time within which an answer is on time.
+	// LatencyTarget is the target latency of a response.
 	LatencyTarget time.Duration
 	Priority      int
-	// MaxAttempts is the largest number of servers one request is sent to.
+	// MaxAttempts is the largest number of servers that a request is sent to.
 	MaxAttempts int
-	// Sticky routes keep requests with equal prompts together.
+	// Sticky routes send requests with equal prompts to the same servers.
 	Sticky bool
 	// Resumable streams may be continued at another server.
 	Resumable bool
-	// SingleVersion asks for one weight version in each result.
+	// SingleVersion requires each result to come from a single weight version.
 	SingleVersion bool
-	// ItemLifetime is the time after a batch job's acceptance at which its items
-	// may be given up.
+	// ItemLifetime is the time after the acceptance of a batch job after which its items may be
+	// given up.
 	ItemLifetime time.Duration
-	// ResultDeadline is the time by which the results of a batch job are due.
+	// ResultDeadline is the time within which the results of a batch job are due.
 	ResultDeadline time.Duration
-	// Public routes ask for no API key.
+	// Public routes require no API key.
 	Public bool
 }
 
-// Repeatable says whether a request of the route may run more than once.
+// Repeatable reports whether a request of the route may run more than once.
 func (r *Route) Repeatable() bool {
 	return r.Kind == KindSafe || r.Kind == KindStream && r.Resumable
 }
@@ -82,21 +82,22 @@
 	if total <= 0 {
 		return Target{}, false
 	}
-	left := draw * total
+	remaining := draw * total
 	for _, target := range r.Targets {
 		if target.Weight <= 0 {
 			continue
 		}
-		if left < target.Weight {
+		if remaining < target.Weight {
 			return target, true
 		}
-		left -= target.Weight
+		remaining -= target.Weight
 	}
 	return r.Targets[len(r.Targets)-1], true
 }
 
-// PickFor chooses the target of whatever has an id, by weight and the same at every node.
-func (r *Route) PickFor(id string) (Target, bool) {
+// PickByHash chooses a target by weight and the hash of an id, so that all nodes choose the same
+// one.
+func (r *Route) PickByHash(id string) (Target, bool) {
 	const mantissaBits = 53
 	return r.Pick(float64(xxhash.Sum64String(id)>>(64-mantissaBits)) / (1 << mantissaBits))
 }
@@ -104,26 +105,27 @@
 // Service is a group of servers that do the same work.
 type Service struct {
 	Name string
-	// MaxConnections is what each server takes from all callers together.
+	// MaxConnections is the number of connections that each server accepts from all callers
+	// together.
 	MaxConnections int
 	// Models are the models that an engine pool serves; empty for other services.
 	Models []string
-	// Slots is the number of requests an engine runs at once; 0 for other services.
+	// Slots is the number of requests that an engine runs at once; 0 for other services.
 	Slots int
-	// WarmUpRate is how many requests a second a server bears while it warms up; 0 means that it
-	// is not bounded.
+	// WarmUpRate is the requests per second that a server sustains while it warms up; 0 means
+	// unlimited.
 	WarmUpRate float64
-	// Scaling is nil where the number of servers can not be chosen.
+	// Scaling is nil if the number of servers is not managed.
 	Scaling *Scaling
 }
 
-// Scaling bounds the choice of a service's number of servers.
+// Scaling bounds the number of servers of a service.
 type Scaling struct {
 	// Minimum and Maximum bound the servers of each zone.
 	Minimum, Maximum int
-	// BootTime is from an order until a new server serves.
+	// BootTime is the time from ordering a server until it accepts requests.
 	BootTime time.Duration
-	// ZonePrices holds what a second of a server costs in each zone, relative to others.
+	// ZonePrices holds the price per second of a server in each zone, relative to the other zones.
 	ZonePrices map[string]float64
 }
 
@@ -135,29 +137,29 @@
 	IdleTimeout   time.Duration
 }
 
-// Table is one version of the configuration. It is not changed once built.
+// Table is one version of the configuration. It is immutable once built.
 type Table struct {
 	Version  int64
 	Routes   []Route
 	Services map[string]Service
 	Limits   Limits
-	// Tenants are those whose keys callers must bear; nil where no keys are asked for.
+	// Tenants are the tenants whose keys are accepted; nil disables API keys.
 	Tenants *tenant.Set
 
 	byHost map[string][]*Route
-	// single are the services that routes lead single requests to.
-	single map[string]bool
+	// singleServices are the services that routes for single requests target.
+	singleServices map[string]bool
 }
 
-// NewTable builds a table with its index by host.
+// NewTable builds a table and its index by host.
 func NewTable(version int64, routes []Route, services []Service, limits Limits) *Table {
 	table := &Table{
-		Version:  version,
-		Routes:   routes,
-		Services: make(map[string]Service, len(services)),
-		Limits:   limits,
-		byHost:   make(map[string][]*Route),
-		single:   make(map[string]bool),
+		Version:        version,
+		Routes:         routes,
+		Services:       make(map[string]Service, len(services)),
+		Limits:         limits,
+		byHost:         make(map[string][]*Route),
+		singleServices: make(map[string]bool),
 	}
 	for _, service := range services {
 		table.Services[service.Name] = service
@@ -169,7 +171,7 @@
 			continue
 		}
 		for _, target := range routes[i].Targets {
-			table.single[target.Service] = true
+			table.singleServices[target.Service] = true
 		}
 	}
 	return table
@@ -189,7 +191,7 @@
 	return best
 }
 
-// MatchTarget is Match for a path that may have a query.
+// MatchTarget is Match for a path that may include a query.
 func (t *Table) MatchTarget(host, target string) *Route {
 	path, _, _ := strings.Cut(target, "?")
 	return t.Match(host, path)
@@ -202,8 +204,8 @@
 	return strings.ToLower(host)
 }
 
-// WarmUpRate returns how many requests a second a server of a service bears while it warms up; 0
-// where that is not bounded, or no configuration is known.
+// WarmUpRate returns the requests per second that a server of a service sustains while it warms up;
+// 0 if unlimited or if there is no configuration.
 func (t *Table) WarmUpRate(service string) float64 {
 	if t == nil {
 		return 0
@@ -211,8 +213,9 @@
 	return t.Services[service].WarmUpRate
 }
 
-// ServesSingle says whether single requests, and not only batch jobs, may be led to a service: a route
-// does so, or the next version may, as the service is no pool of engines.
-func (t *Table) ServesSingle(service string) bool {
-	return t.single[service] || len(t.Services[service].Models) == 0
+// ServesSingleRequests reports whether single requests, and not only batch jobs, may reach a
+// service: either a route targets it, or the next configuration may, since it is not an engine
+// pool.
+func (t *Table) ServesSingleRequests(service string) bool {
+	return t.singleServices[service] || len(t.Services[service].Models) == 0
 }
--- a/internal/routetable/routetable_test.go
+++ b/internal/routetable/routetable_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-func TestMatchTakesTheLongestPrefix(t *testing.T) {
+func TestMatchPrefersLongestPrefix(t *testing.T) {
 	table := NewTable(1, []Route{
 		{Name: "short", Host: "a.example", Prefix: "/x/"},
 		{Name: "long", Host: "a.example", Prefix: "/x/y/"},
@@ -28,7 +28,7 @@
 	}
 }
 
-func TestPickFollowsTheWeights(t *testing.T) {
+func TestPickFollowsWeights(t *testing.T) {
 	route := Route{Targets: []Target{{"a", 90}, {"none", 0}, {"b", 10}}}
 	counts := make(map[string]int)
 	const draws = 1000
@@ -43,7 +43,7 @@
 		t.Errorf("counts %v", counts)
 	}
 	if _, ok := (&Route{Targets: []Target{{"a", 0}}}).Pick(0.5); ok {
-		t.Error("a target without weight was picked")
+		t.Error("a target of weight 0 was picked")
 	}
 }
 
--- a/internal/scheduler/jobs.go
+++ b/internal/scheduler/jobs.go
@@ -112,7 +112,7 @@
 		job.giveUpAt = job.cameAt.Add(job.route.ItemLifetime)
 	}
 	for id, waiting := range job.items {
-		target, _ := job.route.PickFor(id)
+		target, _ := job.route.PickByHash(id)
 		waiting.service = target.Service
 	}
 }
