--- a/internal/crashwatch/probe.go
+++ b/internal/crashwatch/probe.go
@@ -121,7 +121,7 @@
 // connections implicate no request.
 func (t *Tracker) isShutdownPlanned(server directory.Server) bool {
 	listed := t.options.Directory.Find(server.ID)
-	return listed == nil || listed.Draining && listed.Incarnation().IsSameLife(server.Incarnation())
+	return listed == nil || listed.Draining && listed.Incarnation().MayBeSame(server.Incarnation())
 }
 
 // recordBreakLocked records a connection broken by an incarnation, which may be later than the
@@ -176,7 +176,7 @@
 	snapshot.All(func(server *directory.Server) {
 		switch {
 		case server.ID == broken.incarnation.ID:
-			found = found || !broken.incarnation.IsSameLife(server.Incarnation())
+			found = found || !broken.incarnation.MayBeSame(server.Incarnation())
 		case server.Address == broken.address && server.Service == broken.service:
 			found = true
 		}
--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -1,5 +1,5 @@
-// Package directory keeps the list of back ends: what each server tells of
-// itself in the store, folded in the order of the store's records.
+// Package directory holds the list of back ends: the state that each server reports to the store,
+// folded in the order of the store's records.
 package directory
 
 import (
@@ -11,28 +11,29 @@
 	"time"
 )
 
-// Incarnation names one life of a back end. One that starts again may keep its id, and holds and
-// knows nothing of its life before.
+// Incarnation identifies one run of a back end. A back end that restarts may keep its id, but has
+// none of its earlier state.
 type Incarnation struct {
 	ID string
-	// Born is when it started, in Unix milliseconds by its own clock; 0 where it does not tell.
+	// Born is the start time in Unix milliseconds by the server's own clock; 0 if not reported.
 	Born int64
 }
 
-// Compare orders incarnations by id, and those of one id by birth.
+// Compare orders incarnations by id, then by birth.
 func (i Incarnation) Compare(other Incarnation) int {
 	return cmp.Or(strings.Compare(i.ID, other.ID), cmp.Compare(i.Born, other.Born))
 }
 
-// IsSameLife says whether two incarnations may be one. A birth that is not told says nothing.
-func (i Incarnation) IsSameLife(other Incarnation) bool {
+// MayBeSame reports whether two incarnations may be the same. A birth that is not reported matches
+// any other.
+func (i Incarnation) MayBeSame(other Incarnation) bool {
 	return i.ID == other.ID && (i.Born == other.Born || i.Born == 0 || other.Born == 0)
 }
 
 // Server is one incarnation of a back end.
 type Server struct {
 	ID string
-	// Born is when this life began; see Incarnation.
+	// Born is the start time of this incarnation; see Incarnation.
 	Born    int64
 	Service string
 	// Address is IP:PORT.
@@ -40,41 +41,40 @@
 	Zone     string
 	Slots    int
 	Draining bool
-	// WarmAt is until when the server is slow since it started, by package clock; it is past or
-	// zero for one that is warm.
+	// WarmAt is the end of the server's warm-up, by package clock; past or zero for a warm server.
 	WarmAt time.Time
-	// Spot servers may be taken away with little notice.
+	// Spot servers may be reclaimed at short notice.
 	Spot bool
 	// Versions holds the loaded weight version of each model.
 	Versions map[string]int64
-	// Digest is that of the server's entry in the store, without what every
-	// heartbeat changes; 0 when it is not known.
+	// Digest is the digest of the server's entry in the store, without the fields that each
+	// heartbeat changes; 0 if unknown.
 	Digest uint64
 }
 
-// Incarnation names the server's life.
+// Incarnation returns the server's incarnation.
 func (s *Server) Incarnation() Incarnation { return Incarnation{ID: s.ID, Born: s.Born} }
 
-// Snapshot is the list at one moment. It is not changed once published.
+// Snapshot is the list at one point in time. It is immutable once published.
 type Snapshot struct {
-	// all holds the servers of each service, ready those that take new work: neither do they
-	// leave, nor is their zone evacuated. Both are ordered by id.
+	// all holds the servers of each service; ready holds those that accept new work, that is,
+	// neither draining nor in an evacuated zone. Both are ordered by id.
 	all   map[string][]*Server
 	ready map[string][]*Server
 	count int
 }
 
-// Ready returns the servers of a service that take new work, ordered by id.
+// Ready returns the servers of a service that accept new work, ordered by id.
 func (s *Snapshot) Ready(service string) []*Server { return s.ready[service] }
 
-// Services calls visit for every service with its servers in the order of their ids.
+// Services calls visit for every service, with its servers ordered by id.
 func (s *Snapshot) Services(visit func(service string, servers []*Server)) {
 	for _, service := range slices.Sorted(maps.Keys(s.all)) {
 		visit(service, s.all[service])
 	}
 }
 
-// All calls visit for every server, those of a service in the order of their ids.
+// All calls visit for every server; those of one service are ordered by id.
 func (s *Snapshot) All(visit func(*Server)) {
 	for _, servers := range s.all {
 		for _, server := range servers {
@@ -83,24 +83,23 @@
 	}
 }
 
-// Count returns the number of servers listed.
+// Count returns the number of listed servers.
 func (s *Snapshot) Count() int { return s.count }
 
-// Change is news of one server.
+// Change is an update of one server's entry.
 type Change struct {
 	ID string
-	// Server is nil where the server is gone.
+	// Server is nil if the server was removed.
 	Server *Server
-	// Before is the entry that was changed, set where changes were applied; nil where
-	// the server was not listed.
+	// Before is the previous entry, set by Apply; nil if the server was not listed.
 	Before *Server
 }
 
-// Directory is the folded list. It may be used by several goroutines.
+// Directory is the current list. It is safe for concurrent use.
 type Directory struct {
 	mutex   sync.Mutex
 	servers map[string]*Server
-	// evacuated are the zones whose servers take no new work.
+	// evacuated are the zones whose servers get no new work.
 	evacuated map[string]bool
 	current   *Snapshot
 	readAt    time.Time
@@ -111,14 +110,14 @@
 	return &Directory{servers: make(map[string]*Server), current: &Snapshot{}}
 }
 
-// NoteRead notes that the list was read at now.
-func (d *Directory) NoteRead(now time.Time) {
+// MarkRead records that the list was read at now.
+func (d *Directory) MarkRead(now time.Time) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.readAt = now
 }
 
-// Age returns the time since the list was read.
+// Age returns the time since the list was last read.
 func (d *Directory) Age(now time.Time) time.Duration {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -132,21 +131,21 @@
 	return d.servers[id]
 }
 
-// Holds says whether a server's entry is listed with a digest.
-func (d *Directory) Holds(id string, digest uint64) bool {
+// HasDigest reports whether a server is listed with the given digest.
+func (d *Directory) HasDigest(id string, digest uint64) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	known := d.servers[id]
-	return known != nil && known.Digest == digest
+	server := d.servers[id]
+	return server != nil && server.Digest == digest
 }
 
-// Replace sets the whole list.
+// Replace replaces the whole list.
 func (d *Directory) Replace(servers []Server) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	changed := make(map[string]bool)
-	for _, known := range d.servers {
-		changed[known.Service] = true
+	for _, server := range d.servers {
+		changed[server.Service] = true
 	}
 	d.servers = make(map[string]*Server, len(servers))
 	for i := range servers {
@@ -156,7 +155,7 @@
 	d.publish(changed)
 }
 
-// Apply takes changes in order and returns those that changed the list.
+// Apply applies changes in order and returns those that changed the list.
 func (d *Directory) Apply(changes []Change) []Change {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -169,7 +168,7 @@
 			continue
 		}
 		if before != nil {
-			if change.Server != nil && equal(before, change.Server) && !TurnedSlow(before, change.Server) {
+			if change.Server != nil && equal(before, change.Server) && !WarmUpExtended(before, change.Server) {
 				d.servers[change.ID] = change.Server
 				continue
 			}
@@ -189,26 +188,26 @@
 	return effective
 }
 
-// SetEvacuated has the servers of zones take no new work until it is called anew without them.
+// SetEvacuated sets the zones whose servers get no new work.
 func (d *Directory) SetEvacuated(zones map[string]bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.evacuated = zones
 	services := make(map[string]bool)
-	for _, known := range d.servers {
-		services[known.Service] = true
+	for _, server := range d.servers {
+		services[server.Service] = true
 	}
 	d.publish(services)
 }
 
-// Snapshot returns the list as it stands.
+// Snapshot returns the current list.
 func (d *Directory) Snapshot() *Snapshot {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.current
 }
 
-// publish makes a snapshot; only the lists of the services that changed are new.
+// publish publishes a new snapshot, which shares the lists of unchanged services with the last one.
 func (d *Directory) publish(changed map[string]bool) {
 	snapshot := &Snapshot{all: make(map[string][]*Server), ready: make(map[string][]*Server), count: len(d.servers)}
 	for service, servers := range d.current.all {
@@ -233,21 +232,23 @@
 	d.current = snapshot
 }
 
-// warmAtSlack is by how much the end of a server's warm-up may be told differently by two of its
-// heartbeats: they come late by some milliseconds.
-const warmAtSlack = 300 * time.Millisecond
+// warmAtTolerance is how much the reported end of a warm-up may vary between two heartbeats of a
+// server, which are delayed by some milliseconds.
+const warmAtTolerance = 300 * time.Millisecond
 
-// TurnedSlow says whether a server warms up for longer than was known.
-func TurnedSlow(before, after *Server) bool { return after.WarmAt.Sub(before.WarmAt) > warmAtSlack }
+// WarmUpExtended reports whether the end of a server's warm-up is later than reported before.
+func WarmUpExtended(before, after *Server) bool {
+	return after.WarmAt.Sub(before.WarmAt) > warmAtTolerance
+}
 
-// SameIgnoringVersions says whether two entries differ in nothing but the loaded
-// weights.
-func SameIgnoringVersions(a, b *Server) bool {
+// EqualIgnoringVersions reports whether two entries are equal apart from the loaded weight versions.
+// WarmAt, Spot and Digest are not compared either.
+func EqualIgnoringVersions(a, b *Server) bool {
 	return a.Born == b.Born && a.Service == b.Service && a.Address == b.Address && a.Zone == b.Zone && a.Slots == b.Slots && a.Draining == b.Draining
 }
 
 func equal(a, b *Server) bool {
-	if !SameIgnoringVersions(a, b) || len(a.Versions) != len(b.Versions) {
+	if !EqualIgnoringVersions(a, b) || len(a.Versions) != len(b.Versions) {
 		return false
 	}
 	for model, version := range a.Versions {
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -13,14 +13,14 @@
 	return text
 }
 
-// put applies the entry of one server and says whether the list changed.
+// put applies the entry of one server and reports whether the list changed.
 func put(d *Directory, server Server) bool {
 	return len(d.Apply([]Change{{ID: server.ID, Server: &server}})) > 0
 }
 
 func remove(d *Directory, id string) bool { return len(d.Apply([]Change{{ID: id}})) > 0 }
 
-func listed(snapshot *Snapshot) map[string]bool {
+func listedIDs(snapshot *Snapshot) map[string]bool {
 	known := make(map[string]bool)
 	snapshot.All(func(server *Server) { known[server.ID] = true })
 	return known
@@ -30,7 +30,7 @@
 	d := NewDirectory()
 	for _, id := range []string{"c", "a", "b"} {
 		if !put(d, Server{ID: id, Service: "s", Versions: map[string]int64{"m": 1}}) {
-			t.Errorf("%s changed nothing", id)
+			t.Errorf("adding %s did not change the list", id)
 		}
 	}
 	before := d.Snapshot()
@@ -38,34 +38,34 @@
 		t.Errorf("ready %s", got)
 	}
 	if put(d, Server{ID: "a", Service: "s", Versions: map[string]int64{"m": 1}, Digest: 5}) {
-		t.Error("a heartbeat without news changed the list")
+		t.Error("a heartbeat without changes changed the list")
 	}
-	if !d.Holds("a", 5) || d.Holds("a", 4) || d.Holds("z", 5) {
-		t.Error("the digest of the newest entry is not held")
+	if !d.HasDigest("a", 5) || d.HasDigest("a", 4) || d.HasDigest("z", 5) {
+		t.Error("HasDigest does not match the newest entry")
 	}
 	if !put(d, Server{ID: "a", Service: "s", Versions: map[string]int64{"m": 2}}) {
-		t.Error("a new version changed nothing")
+		t.Error("a new version did not change the list")
 	}
 	put(d, Server{ID: "b", Service: "s", Draining: true})
 	if !remove(d, "c") || remove(d, "c") {
-		t.Error("a server is removed once")
+		t.Error("removal did not change the list exactly once")
 	}
 	if got := ids(d.Snapshot().Ready("s")); got != "a" {
 		t.Errorf("ready %s", got)
 	}
-	if d.Snapshot().Count() != 2 || listed(d.Snapshot())["c"] {
-		t.Error("the removed server is listed")
+	if d.Snapshot().Count() != 2 || listedIDs(d.Snapshot())["c"] {
+		t.Error("the removed server is still listed")
 	}
 	if got := ids(before.Ready("s")); got != "abc" {
 		t.Errorf("an earlier snapshot changed to %s", got)
 	}
 	d.Replace([]Server{{ID: "x", Service: "s"}})
 	if got := ids(d.Snapshot().Ready("s")); got != "x" {
-		t.Errorf("ready after a replacement %s", got)
+		t.Errorf("ready after Replace: %s", got)
 	}
 }
 
-func TestServersMayChangeTheirService(t *testing.T) {
+func TestServerMayChangeService(t *testing.T) {
 	d := NewDirectory()
 	d.Replace([]Server{{ID: "a", Service: "s"}, {ID: "b", Service: "t"}})
 	changes := d.Apply([]Change{{ID: "a", Server: &Server{ID: "a", Service: "t"}}, {ID: "c", Server: &Server{ID: "c", Service: "s"}}, {ID: "c"}})
@@ -83,29 +83,28 @@
 func TestAge(t *testing.T) {
 	d := NewDirectory()
 	now := time.Unix(1000, 0)
-	d.NoteRead(now)
+	d.MarkRead(now)
 	if got := d.Age(now.Add(time.Second)); got != time.Second {
 		t.Errorf("age %v", got)
 	}
 }
 
-// Seen: none; read in the code. A server that crashed and started again under its id was taken for
-// the same one, and so was all that was known of its life before.
-// Cause: an entry's time of birth was neither decoded nor compared.
-func TestALaterLifeOfAServerIsAChange(t *testing.T) {
+// A server that crashed and restarted under the same id was taken for the same incarnation, since
+// births were not compared; what was known of the old one was kept.
+func TestNewIncarnationIsAChange(t *testing.T) {
 	d := NewDirectory()
 	put(d, Server{ID: "a", Born: 1000, Service: "s"})
 	before := d.Snapshot()
 	if !put(d, Server{ID: "a", Born: 2000, Service: "s"}) {
-		t.Error("a later life is no change")
+		t.Error("a new incarnation is not a change")
 	}
 	if put(d, Server{ID: "a", Born: 2000, Service: "s", Digest: 7}) {
-		t.Error("a heartbeat of the same life is a change")
+		t.Error("a heartbeat of the same incarnation is a change")
 	}
 	if got := d.Snapshot().Ready("s")[0].Incarnation(); got != (Incarnation{ID: "a", Born: 2000}) {
 		t.Errorf("listed as %+v", got)
 	}
 	if got := before.Ready("s")[0].Incarnation(); got != (Incarnation{ID: "a", Born: 1000}) {
-		t.Errorf("the snapshot before lists %+v", got)
+		t.Errorf("the earlier snapshot lists %+v", got)
 	}
 }
--- a/internal/scheduler/engines.go
+++ b/internal/scheduler/engines.go
@@ -49,7 +49,7 @@
 
 func (m *Machine) learn(server *directory.Server) {
 	known := m.engines[server.ID]
-	if known != nil && known.server.Born != server.Born && !known.server.incarnation().IsSameLife(server.Incarnation()) {
+	if known != nil && known.server.Born != server.Born && !known.server.incarnation().MayBeSame(server.Incarnation()) {
 		m.bury(known)
 		known = nil
 	}
--- a/internal/scheduler/loads.go
+++ b/internal/scheduler/loads.go
@@ -368,7 +368,7 @@
 // HandleLoad takes what an order came to.
 func (m *Machine) HandleLoad(now time.Time, server Server, model string, load Load) {
 	known := m.engines[server.ID]
-	if known == nil || !known.server.incarnation().IsSameLife(server.incarnation()) {
+	if known == nil || !known.server.incarnation().MayBeSame(server.incarnation()) {
 		return // the order was given to an earlier life
 	}
 	if known.loading {
--- a/internal/serverlist/direct.go
+++ b/internal/serverlist/direct.go
@@ -173,7 +173,7 @@
 	l.next = l.relay.next
 	next, servers := l.next, l.relay.list()
 	l.options.Directory.Replace(servers)
-	l.options.Directory.NoteRead(clock.Now())
+	l.options.Directory.MarkRead(clock.Now())
 	l.mutex.Unlock()
 	l.options.Logger.Info("list taken from the relay", zap.Int("servers", len(servers)), zap.Int64("offset", next))
 	l.options.Changed()
@@ -203,7 +203,7 @@
 			changes = append(changes, directory.Change{ID: record.Key})
 			continue
 		}
-		if l.options.Directory.Holds(record.Key, l.options.Digest(record.Value)) && !mentioned(changes, record.Key) {
+		if l.options.Directory.HasDigest(record.Key, l.options.Digest(record.Value)) && !mentioned(changes, record.Key) {
 			continue
 		}
 		change := directory.Change{ID: record.Key}
@@ -268,7 +268,7 @@
 	l.complete = l.complete || end
 	l.mutex.Unlock()
 	if end {
-		l.options.Directory.NoteRead(clock.Now())
+		l.options.Directory.MarkRead(clock.Now())
 	}
 }
 
@@ -282,7 +282,7 @@
 	}
 	lines := 0
 	for _, change := range changes {
-		if change.Server != nil && change.Before != nil && directory.SameIgnoringVersions(change.Before, change.Server) {
+		if change.Server != nil && change.Before != nil && directory.EqualIgnoringVersions(change.Before, change.Server) {
 			continue
 		}
 		lines++
--- a/internal/serverlist/follow.go
+++ b/internal/serverlist/follow.go
@@ -202,7 +202,7 @@
 	var effective []directory.Change
 	if l.complete && !l.direct && len(read.Records) > 0 {
 		l.next = l.relay.next
-		l.options.Directory.NoteRead(now)
+		l.options.Directory.MarkRead(now)
 		effective = l.options.Directory.Apply(changes)
 	}
 	l.mutex.Unlock()
--- a/internal/serverlist/relay.go
+++ b/internal/serverlist/relay.go
@@ -196,7 +196,7 @@
 		for _, server := range servers {
 			current[server.ID] = true
 			before := r.servers[server.ID]
-			if before == nil || !directory.SameIgnoringVersions(before, server) || directory.TurnedSlow(before, server) {
+			if before == nil || !directory.EqualIgnoringVersions(before, server) || directory.WarmUpExtended(before, server) {
 				put = append(put, entryOf(now, server))
 			}
 		}
