--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,9 +1,9 @@
-// Package clock tells time that goes on while the machine is suspended.
+// Package clock provides a clock that advances while the machine is suspended.
 //
-// The time package measures by a clock that stands still during a suspension: what was read
-// before looks as fresh afterwards, and a lease as valid. Ages, leases and deadlines are therefore
-// measured by Now. Its times compare with each other only; they are ahead of time.Now by what was
-// slept, so that a deadline becomes that of a context by way of Until.
+// The time package measures intervals with a clock that stops during a suspension: data read before
+// it would still look fresh afterwards, and a lease valid. Ages, leases and deadlines are therefore
+// measured with Now. Its times are comparable only with each other: they are ahead of time.Now by
+// the total time suspended. Use Until to turn a deadline into that of a context.
 package clock
 
 import (
@@ -18,59 +18,61 @@
 	"golang.org/x/sys/unix"
 )
 
-// suspended is the time that the machine was seen to be suspended, in nanoseconds.
-var suspended atomic.Int64
+// totalSuspended is the total time that the machine has been suspended, in nanoseconds.
+var totalSuspended atomic.Int64
 
-// Now returns the time with the suspensions that were noted.
-func Now() time.Time { return time.Now().Add(time.Duration(suspended.Load())) }
+// Now returns the current time, including the suspensions detected so far.
+func Now() time.Time { return time.Now().Add(time.Duration(totalSuspended.Load())) }
 
-// TimeOfDay returns the machine's time of day. It differs between machines and may step: it is for people and
-// for what the outside names by a date, and no rule compares it with another machine's.
+// TimeOfDay returns the machine's time of day. It differs between machines and may step. It is for
+// display and for external interfaces that use dates; it must not be compared with another
+// machine's.
 func TimeOfDay() time.Time { return timeOfDay() }
 
-// Since returns the time since a moment that Now told.
+// Since returns the time since a moment returned by Now.
 func Since(moment time.Time) time.Duration { return Now().Sub(moment) }
 
-// Until returns the time until a moment that was reckoned from one that Now told.
+// Until returns the time until a moment derived from Now.
 func Until(moment time.Time) time.Duration { return moment.Sub(Now()) }
 
-// NoteSuspended adds to the time that the machine was suspended. Tests play suspensions by it.
-func NoteSuspended(length time.Duration) { suspended.Add(int64(length)) }
+// AddSuspension adds a suspension to the total. Tests use it to simulate suspensions.
+func AddSuspension(duration time.Duration) { totalSuspended.Add(int64(duration)) }
 
-// The watching for suspensions.
+// Parameters of the detection of suspensions.
 const (
-	// watchInterval is the time between two looks, each of which wakes a resting node. What must not
-	// act on an old belief looks by itself, with Refresh.
+	// watchInterval is the time between two checks, each of which wakes an idle node. Code that
+	// must not act on stale state calls Refresh itself.
 	watchInterval = 500 * time.Millisecond
-	// shortest is the shortest suspension that is noted: two clocks are not read at once.
-	shortest = 5 * time.Millisecond
+	// minSuspension is the shortest suspension that is detected, since the two clocks can't be read
+	// at the same instant.
+	minSuspension = 5 * time.Millisecond
 )
 
-// readClock reads a clock of the system by its number.
-type readClock func(number int32) (time.Duration, error)
+// clockReader reads a system clock by its id.
+type clockReader func(number int32) (time.Duration, error)
 
-func readSystem(number int32) (time.Duration, error) {
+func readSystemClock(number int32) (time.Duration, error) {
 	var at unix.Timespec
 	err := unix.ClockGettime(number, &at)
 	return time.Duration(at.Nano()), err
 }
 
-// gapTries bounds the reads of the clocks for one look: a busy machine may hold the process
-// still between two of them.
-const gapTries = 5
+// maxClockReads bounds the attempts to read the clocks together: on a busy machine the process may
+// be delayed between two reads.
+const maxClockReads = 5
 
-var errStoodStill = eris.New("the process stood still between the reads of the clocks")
+var errReadsDelayed = eris.New("process delayed between clock reads")
 
-// gap is by how much the clock that goes on is ahead of the one that does not, to within shortest.
-// The reads of the one are taken right before and after that of the other, so that a stall
-// between them is not taken for a suspension.
-func gap(read readClock) (time.Duration, error) {
-	for range gapTries {
+// suspensionOffset returns how far CLOCK_BOOTTIME is ahead of CLOCK_MONOTONIC, which stops during
+// suspensions; the error is less than minSuspension. The monotonic clock is read before and after
+// the other one, so that a delay between the reads is not taken for a suspension.
+func suspensionOffset(read clockReader) (time.Duration, error) {
+	for range maxClockReads {
 		before, err := read(unix.CLOCK_MONOTONIC)
 		if err != nil {
 			return 0, err
 		}
-		running, err := read(unix.CLOCK_BOOTTIME)
+		boottime, err := read(unix.CLOCK_BOOTTIME)
 		if err != nil {
 			return 0, err
 		}
@@ -78,60 +80,60 @@
 		if err != nil {
 			return 0, err
 		}
-		if after-before < shortest {
-			return running - before, nil
+		if after-before < minSuspension {
+			return boottime - before, nil
 		}
 	}
-	return 0, errStoodStill
+	return 0, errReadsDelayed
 }
 
-// detector notes suspensions since it was made.
+// detector detects suspensions from changes of the offset between the clocks.
 type detector struct {
-	mutex sync.Mutex
-	known bool
-	last  time.Duration
+	mutex       sync.Mutex
+	initialized bool
+	lastOffset  time.Duration
 }
 
-// note takes the gap between the clocks and returns how long the machine was suspended since the
-// last one.
-func (d *detector) note(now time.Duration) time.Duration {
+// update takes the current offset between the clocks and returns the length of the suspension since
+// the last update; 0 for none.
+func (d *detector) update(offset time.Duration) time.Duration {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	if !d.known {
-		d.known, d.last = true, now
+	if !d.initialized {
+		d.initialized, d.lastOffset = true, offset
 		return 0
 	}
-	slept := now - d.last
-	if slept < shortest {
+	suspension := offset - d.lastOffset
+	if suspension < minSuspension {
 		return 0
 	}
-	d.last = now
-	return slept
+	d.lastOffset = offset
+	return suspension
 }
 
-var ofThisMachine detector
+var systemDetector detector
 
-// Refresh notes a suspension that has just ended and returns its length, 0 for none.
+// Refresh detects a suspension that has just ended and returns its length; 0 for none.
 func Refresh() time.Duration {
-	now, err := gap(readSystem)
+	offset, err := suspensionOffset(readSystemClock)
 	if err != nil {
-		return 0 // the next look tells; that the clocks can not be read at all is told by Watch
+		return 0 // the next call detects it; Watch logs permanent errors
 	}
-	slept := ofThisMachine.note(now)
-	if slept > 0 {
-		NoteSuspended(slept)
+	suspension := systemDetector.update(offset)
+	if suspension > 0 {
+		AddSuspension(suspension)
 	}
-	return slept
+	return suspension
 }
 
-// Watch notes suspensions until the context ends.
+// Watch detects and logs suspensions until the context ends.
 func Watch(ctx context.Context, logger *zap.Logger) {
-	if _, err := gap(readSystem); err != nil && !errors.Is(err, errStoodStill) {
-		logger.Error("suspensions of the machine are not seen", zap.Error(err))
+	if _, err := suspensionOffset(readSystemClock); err != nil && !errors.Is(err, errReadsDelayed) {
+		logger.Error("suspensions of the machine cannot be detected", zap.Error(err))
 		return
 	}
 	Refresh()
-	logged := suspended.Load()
+	logged := totalSuspended.Load()
 	ticker := time.NewTicker(watchInterval)
 	defer ticker.Stop()
 	for {
@@ -141,10 +143,10 @@
 		case <-ticker.C:
 		}
 		Refresh()
-		// Others look as well, and may have noted it before.
-		if noted := suspended.Load(); noted > logged {
-			logger.Warn("machine was suspended", zap.Duration("lasted", time.Duration(noted-logged)))
-			logged = noted
+		// Other callers of Refresh may have detected the suspension first.
+		if total := totalSuspended.Load(); total > logged {
+			logger.Warn("machine was suspended", zap.Duration("lasted", time.Duration(total-logged)))
+			logged = total
 		}
 	}
 }
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -12,11 +12,11 @@
 	"golang.org/x/sys/unix"
 )
 
-func TestTimeGoesOnWhileSuspended(t *testing.T) {
+func TestTimeAdvancesDuringSuspension(t *testing.T) {
 	before := Now()
 	ends := before.Add(time.Minute)
-	NoteSuspended(10 * time.Second)
-	defer NoteSuspended(-10 * time.Second)
+	AddSuspension(10 * time.Second)
+	defer AddSuspension(-10 * time.Second)
 	if age := Since(before); age < 10*time.Second || age > 20*time.Second {
 		t.Errorf("age %v", age)
 	}
@@ -25,37 +25,37 @@
 	}
 }
 
-func TestSuspensionsAreSeenByTheGapOfTheClocks(t *testing.T) {
+func TestDetectorFindsSuspensions(t *testing.T) {
 	var d detector
-	steps := []struct{ gap, slept time.Duration }{
+	steps := []struct{ offset, suspension time.Duration }{
 		{7 * time.Second, 0}, {7*time.Second + time.Millisecond, 0}, {7*time.Second - time.Millisecond, 0},
 		{9 * time.Second, 2 * time.Second}, {9 * time.Second, 0}, {12 * time.Second, 3 * time.Second},
 	}
 	for number, step := range steps {
-		if got := d.note(step.gap); got != step.slept {
-			t.Errorf("step %d: slept %v instead of %v", number, got, step.slept)
+		if got := d.update(step.offset); got != step.suspension {
+			t.Errorf("step %d: suspension %v, want %v", number, got, step.suspension)
 		}
 	}
 }
 
-func TestTheClocksAreRead(t *testing.T) {
-	if _, err := gap(readSystem); err != nil {
+func TestSystemClocksAreReadable(t *testing.T) {
+	if _, err := suspensionOffset(readSystemClock); err != nil {
 		t.Fatal(err)
 	}
 	Refresh()
-	if slept := Refresh(); slept != 0 {
-		t.Errorf("slept %v between two looks", slept)
+	if suspension := Refresh(); suspension != 0 {
+		t.Errorf("suspension of %v between two calls of Refresh", suspension)
 	}
 }
 
-// Seen: none; read in the code. A process that was held still between its reads of the two clocks took
-// that for a suspension, and what it knew for older than it was, for good.
-// Cause: the clock that goes on was read after the other, without a look at what passed between.
-func TestAStallBetweenTheReadsIsNoSuspension(t *testing.T) {
-	for stalled := range 4 {
+// A process that was delayed between its reads of the two clocks took the delay for a suspension,
+// so that everything it knew looked older than it was, permanently: nothing bounded the time
+// between the reads.
+func TestDelayBetweenReadsIsNotASuspension(t *testing.T) {
+	for delayed := range 4 {
 		now, reads := time.Hour, 0
 		read := func(number int32) (time.Duration, error) {
-			if reads == stalled {
+			if reads == delayed {
 				now += 3 * time.Second
 			}
 			reads++
@@ -66,30 +66,29 @@
 			return now, nil
 		}
 		var d detector
-		for look := range 3 {
-			seen, err := gap(read)
+		for check := range 3 {
+			offset, err := suspensionOffset(read)
 			if err != nil {
-				continue // not known is no suspension
+				continue // an unknown offset is not a suspension
 			}
-			if slept := d.note(seen); slept != 0 {
-				t.Errorf("stalled at read %d: slept %v at look %d", stalled, slept, look)
+			if suspension := d.update(offset); suspension != 0 {
+				t.Errorf("delay before read %d: suspension of %v at check %d", delayed, suspension, check)
 			}
 		}
 	}
 }
 
-// Seen: none; read in the code. A suspension that an order or an election noticed first was never
-// logged.
-// Cause: the watch compared with what was known just before its own look.
-func TestASuspensionIsLoggedWhoeverNoticedIt(t *testing.T) {
+// A suspension that another caller of Refresh detected first was not logged, since Watch compared
+// the total with its value just before its own check.
+func TestSuspensionFoundElsewhereIsLogged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		core, logs := observer.New(zap.InfoLevel)
 		ctx, cancel := context.WithCancel(t.Context())
 		var watching sync.WaitGroup
 		watching.Go(func() { Watch(ctx, zap.New(core)) })
 		time.Sleep(2 * watchInterval)
-		NoteSuspended(7 * time.Second)
-		defer NoteSuspended(-7 * time.Second)
+		AddSuspension(7 * time.Second)
+		defer AddSuspension(-7 * time.Second)
 		time.Sleep(2 * watchInterval)
 		cancel()
 		watching.Wait()
--- a/internal/clock/timeofday_soak.go
+++ b/internal/clock/timeofday_soak.go
@@ -10,49 +10,51 @@
 	"time"
 )
 
-// Programs that are built for the soak take a wrong time of day from their environment: the machine's clock is no
-// test's to move.
+// Builds for the soak test take offsets of the time of day from the environment, since a test must
+// not change the machine's clock.
 const (
-	// offsetsVariable holds durations, separated by commas, by which the time of day is ahead in turn.
+	// offsetsVariable holds comma-separated durations by which the time of day is ahead, used in
+	// turn.
 	offsetsVariable = "DALEHOOK_SOAK_CLOCK_OFFSETS"
-	// stepVariable holds the time between two steps from one to the next.
+	// stepVariable holds the time between steps from one offset to the next.
 	stepVariable = "DALEHOOK_SOAK_CLOCK_STEP"
 )
 
-// wrongClock is a time of day that steps from one offset to the next.
-type wrongClock struct {
-	began   time.Time
+// offsetClock is a time of day that steps from one offset to the next.
+type offsetClock struct {
+	start   time.Time
 	offsets []time.Duration
 	step    time.Duration
 }
 
-var soakClock = sync.OnceValue(readWrongClock)
+var soakClock = sync.OnceValue(readOffsetClock)
 
-// readWrongClock returns what the environment asks for; a variable that can not be read ends the program.
-func readWrongClock() wrongClock {
-	wrong := wrongClock{began: time.Now(), step: time.Hour}
-	for _, text := range strings.FieldsFunc(os.Getenv(offsetsVariable), func(r rune) bool { return r == ',' }) {
-		wrong.offsets = append(wrong.offsets, mustParse(offsetsVariable, text))
+// readOffsetClock returns the clock that the environment specifies; it panics if a variable is
+// malformed.
+func readOffsetClock() offsetClock {
+	clock := offsetClock{start: time.Now(), step: time.Hour}
+	for _, value := range strings.FieldsFunc(os.Getenv(offsetsVariable), func(r rune) bool { return r == ',' }) {
+		clock.offsets = append(clock.offsets, mustParse(offsetsVariable, value))
 	}
-	if text := os.Getenv(stepVariable); text != "" {
-		wrong.step = mustParse(stepVariable, text)
+	if value := os.Getenv(stepVariable); value != "" {
+		clock.step = mustParse(stepVariable, value)
 	}
-	return wrong
+	return clock
 }
 
-func mustParse(variable, text string) time.Duration {
-	length, err := time.ParseDuration(text)
+func mustParse(variable, value string) time.Duration {
+	duration, err := time.ParseDuration(value)
 	if err != nil {
 		panic(fmt.Sprintf("read %s: %v", variable, err))
 	}
-	return length
+	return duration
 }
 
-func (w wrongClock) offset(now time.Time) time.Duration {
-	if len(w.offsets) == 0 {
+func (c offsetClock) offset(now time.Time) time.Duration {
+	if len(c.offsets) == 0 {
 		return 0
 	}
-	return w.offsets[int(now.Sub(w.began)/w.step)%len(w.offsets)]
+	return c.offsets[int(now.Sub(c.start)/c.step)%len(c.offsets)]
 }
 
 func timeOfDay() time.Time {
--- a/internal/coordinator/suspended_test.go
+++ b/internal/coordinator/suspended_test.go
@@ -20,8 +20,8 @@
 	if !c.mayOrder(order) {
 		t.Fatal("no order under a lease in force")
 	}
-	clock.NoteSuspended(5 * time.Second)
-	defer clock.NoteSuspended(-5 * time.Second)
+	clock.AddSuspension(5 * time.Second)
+	defer clock.AddSuspension(-5 * time.Second)
 	if c.mayOrder(order) {
 		t.Error("an order under a lease that ended during the suspension")
 	}
--- a/internal/crashwatch/tracker_test.go
+++ b/internal/crashwatch/tracker_test.go
@@ -38,7 +38,7 @@
 		Probe: func(context.Context, string) ProbeResult {
 			node.probes.Add(1)
 			time.Sleep(time.Duration(node.probeDuration.Load()))
-			clock.NoteSuspended(time.Duration(node.suspension.Load()))
+			clock.AddSuspension(time.Duration(node.suspension.Load()))
 			return ProbeResult(node.probeResult.Load())
 		},
 	})
--- a/internal/gateway/suspended_test.go
+++ b/internal/gateway/suspension_test.go
@@ -15,12 +15,12 @@
 // the resume, with the time left from before: deadlines were compared by a clock that stops during
 // a suspension.
 func TestDeadlinePassesDuringSuspension(t *testing.T) {
-	const slept = 5 * time.Second
+	const suspension = 5 * time.Second
 	suspendedMeanwhile := func(context.Context, Attempt) (*Response, *SendError) {
-		clock.NoteSuspended(slept)
+		clock.AddSuspension(suspension)
 		return nil, &SendError{Cause: errors.New("connection reset"), Sent: true}
 	}
-	defer clock.NoteSuspended(-slept)
+	defer clock.AddSuspension(-suspension)
 	response, _, backend := serve(t, routetable.KindSafe, false, 2*time.Second, suspendedMeanwhile, respondWith(200, "ok"))
 	if response.StatusCode != http.StatusGatewayTimeout || backend.attemptCount() != 1 {
 		t.Errorf("status %d after %d attempts", response.StatusCode, backend.attemptCount())
