--- a/internal/routetable/access.go
+++ b/internal/routetable/access.go
@@ -15,7 +15,7 @@
 	if t.Tenants == nil {
 		return caller, true
 	}
-	name, known := t.Tenants.Of(key)
+	name, known := t.Tenants.Lookup(key)
 	if !known {
 		return caller, route.Public
 	}
@@ -43,7 +43,7 @@
 	if t.Tenants == nil {
 		return "", true
 	}
-	if name, known := t.Tenants.Of(key); known {
+	if name, known := t.Tenants.Lookup(key); known {
 		return name, true
 	}
 	for _, route := range t.byHost[canonicalHost(host)] {
--- a/internal/tenant/tenant_test.go
+++ b/internal/tenant/tenant_test.go
@@ -6,11 +6,11 @@
 	"testing"
 )
 
-func priority(value int) *int { return &value }
+func priorityOf(value int) *int { return &value }
 
-func TestKeysBelongToTheirTenants(t *testing.T) {
+func TestLookup(t *testing.T) {
 	set := NewSet([]Tenant{
-		{Name: "a", Keys: []string{"key-1", "key-2"}, Priority: priority(0)},
+		{Name: "a", Keys: []string{"key-1", "key-2"}, Priority: priorityOf(0)},
 		{Name: "b", Keys: []string{"key-3", "key-1"}},
 		{Name: "without keys"},
 	})
@@ -18,44 +18,44 @@
 		name, key, want string
 		known           bool
 	}{
-		{"the first key", "key-1", "a", true},
-		{"a second key", "key-2", "a", true},
-		{"another tenant's key", "key-3", "b", true},
-		{"a key that nobody has", "key-4", "", false},
+		{"first key", "key-1", "a", true},
+		{"second key", "key-2", "a", true},
+		{"key of another tenant", "key-3", "b", true},
+		{"unknown key", "key-4", "", false},
 		{"no key", "", "", false},
-		{"a part of a key", "key-", "", false},
-		{"a tenant's name", "a", "", false},
+		{"prefix of a key", "key-", "", false},
+		{"tenant name", "a", "", false},
 	}
 	for _, c := range cases {
-		if got, known := set.Of(c.key); got != c.want || known != c.known {
+		if got, known := set.Lookup(c.key); got != c.want || known != c.known {
 			t.Errorf("%s: %q, known %v", c.name, got, known)
 		}
 	}
-	if set.Len() != 3 || set.Keys() != 3 {
-		t.Errorf("%d tenants, %d keys", set.Len(), set.Keys())
+	if set.Len() != 3 || set.KeyCount() != 3 {
+		t.Errorf("%d tenants, %d keys", set.Len(), set.KeyCount())
 	}
 }
 
-func TestATenantsPriorityIsItsOwnOrNone(t *testing.T) {
-	set := NewSet([]Tenant{{Name: "urgent", Priority: priority(0)}, {Name: "plain"}})
+func TestPriority(t *testing.T) {
+	set := NewSet([]Tenant{{Name: "urgent", Priority: priorityOf(0)}, {Name: "plain"}})
 	if got, own := set.Priority("urgent"); got != 0 || !own {
 		t.Errorf("urgent: %d, %v", got, own)
 	}
 	for _, name := range []string{"plain", "nobody", ""} {
 		if _, own := set.Priority(name); own {
-			t.Errorf("%q has a priority of its own", name)
+			t.Errorf("%q has its own priority", name)
 		}
 	}
 }
 
-func TestKeysAreNotShown(t *testing.T) {
+func TestKeysAreNotPrinted(t *testing.T) {
 	set := NewSet([]Tenant{{Name: "a", Keys: []string{"secret-key"}}})
 	if text := fmt.Sprintf("%+v %#v", set, *set); strings.Contains(text, "secret-key") {
-		t.Error("the set shows a key")
+		t.Error("the printed set contains a key")
 	}
 }
 
-func BenchmarkOf(b *testing.B) {
+func BenchmarkLookup(b *testing.B) {
 	for _, keys := range []int{10, 1_000, 100_000} {
 		var tenants []Tenant
 		for i := range keys {
@@ -65,8 +65,8 @@
 		b.Run(fmt.Sprint(keys, " keys"), func(b *testing.B) {
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
-				if _, known := set.Of(tenants[i%keys].Keys[0]); !known {
-					b.Fatal("a key is not known")
+				if _, known := set.Lookup(tenants[i%keys].Keys[0]); !known {
+					b.Fatal("known key was not found")
 				}
 			}
 		})
