--- a/internal/frontend/node.go
+++ b/internal/frontend/node.go
@@ -45,7 +45,7 @@
 	Log() store.Log
 	Backend() gateway.Backend
 	// Probe finds out whether anything takes connections at a server's address.
-	Probe(ctx context.Context, address string) crashwatch.Reach
+	Probe(ctx context.Context, address string) crashwatch.ProbeResult
 	Engines() coordinator.Engines
 	// Provider is called only where the settings name one.
 	Provider() Provider
@@ -160,7 +160,7 @@
 	n.zones = evacuatedZones{directory: n.directory, changed: n.observeServers, logger: n.logger}
 	n.gateway = gateway.NewGateway(gateway.Options{
 		Backend: adapter.Backend(), Directory: n.directory, Node: options.Settings.Node, Zone: options.Settings.Zone, Quarantine: n.quarantine,
-		Logger: logger.Named("gateway"), Observe: n.metrics.observeRequest, Began: n.noteBegan,
+		Logger: logger.Named("gateway"), Observe: n.metrics.observeRequest, OnStarted: n.noteBegan,
 	})
 	adapter.ObserveStore(n.observeStore)
 	n.jobs = joblog.NewLogs(joblog.Options{
@@ -267,7 +267,7 @@
 	if table == nil {
 		return nil
 	}
-	return table.ServesSingle
+	return table.ServesSingleRequests
 }
 
 // warmingServers returns how many of the listed servers are slow since they started.
@@ -292,7 +292,7 @@
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			n.gateway.Forget()
+			n.gateway.Prune()
 		}
 	}
 }
--- a/internal/serverlist/follow.go
+++ b/internal/serverlist/follow.go
@@ -202,7 +202,7 @@
 	var effective []directory.Change
 	if l.complete && !l.readsHeartbeats && len(read.Records) > 0 {
 		l.nextOffset = l.relay.heartbeatOffset
-		l.options.Directory.NoteRead(now)
+		l.options.Directory.MarkRead(now)
 		effective = l.options.Directory.Apply(changes)
 	}
 	l.mutex.Unlock()
