--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -1,5 +1,5 @@
-// Package coordinator drives the scheduler on the node that holds the lease: it
-// feeds it from the store and the engines, and carries out what it decides.
+// Package coordinator runs the batch scheduler on the node that holds the lease. It
+// passes events from the store and the engines to the scheduler and executes its decisions.
 package coordinator
 
 import (
@@ -21,132 +21,134 @@
 	"dalehook/internal/store"
 )
 
-// EngineState is what an engine reports of itself.
+// EngineState is an engine's reported state.
 type EngineState struct {
-	// Version is the loaded weight version of the model asked for.
+	// Version is the loaded weight version of the requested model.
 	Version int64
-	// Busy says that an order is under way.
+	// Busy is true while an order is being executed.
 	Busy bool
-	// Orders counts the orders that the engine has taken.
+	// Orders is the number of orders that the engine has accepted.
 	Orders int64
 }
 
-// OrderAnswer is what an engine answered to an order.
+// OrderAnswer is an engine's answer to an order.
 type OrderAnswer int
 
 // The answers to an order.
 const (
-	// OrderUnderWay: the engine carries the order out.
-	OrderUnderWay OrderAnswer = iota
-	// OrderHolds: the engine is in the wanted state already.
-	OrderHolds
-	// OrderRefused: the engine does not carry the order out.
+	// OrderInProgress: the engine accepted the order and is executing it.
+	OrderInProgress OrderAnswer = iota
+	// OrderSatisfied: the engine is already in the requested state.
+	OrderSatisfied
+	// OrderRefused: the engine does not execute the order.
 	OrderRefused
-	// OrderUnknown: there was no answer; the order may be carried out later.
+	// OrderUnknown: the engine did not answer; it may still execute the order later.
 	OrderUnknown
 )
 
-// Engines runs items and gives orders.
+// Engines runs items on engines and sends orders to them.
 type Engines interface {
-	// Run runs an item and calls emit for each event, until the run ends or the
-	// context does. Err is nil when the run completed.
+	// Run runs an item and calls emit for each event, until the run or the context
+	// ends. The error is nil if the run completed.
 	Run(ctx context.Context, start scheduler.Start, emit func(scheduler.Event)) (scheduler.EndReason, error)
-	// State asks an engine for its state.
+	// State queries an engine's state.
 	State(ctx context.Context, server scheduler.Server, model string) (EngineState, error)
-	// Load orders an engine to load a version, provided that it has taken the
-	// given number of orders.
+	// Load orders an engine to load a version, on the condition that the engine has
+	// accepted the given number of orders so far.
 	Load(ctx context.Context, order scheduler.Order, orders int64) (OrderAnswer, error)
 }
 
-// Observer counts what the coordinator does.
+// Observer records the coordinator's metrics.
 type Observer interface {
 	ObserveAttempt(reason scheduler.EndReason)
 	ObserveResult(outcome string)
 	ObserveLoad(taken bool)
-	// ObserveReward takes what a reward call came to, and the time since its item's
-	// text was whole.
+	// ObserveReward records the verdict of a reward call and the time since its item's
+	// text was complete.
 	ObserveReward(verdict reward.Verdict, waited time.Duration)
 }
 
-// State is what a coordinator does now.
+// State is a snapshot of a coordinator's activity.
 type State struct {
 	Leading                bool
 	Open, Running, Waiting int
-	// Unscored is the number of items whose text is whole and has no score yet.
+	// Unscored is the number of items whose text is complete but not yet scored.
 	Unscored int
 }
 
 // Options configure a Coordinator.
 type Options struct {
 	Engines Engines
-	// Quarantine knows the items that crash engines; nil for none.
+	// Quarantine tracks the items that crash engines; nil disables tracking.
 	Quarantine *crashwatch.Tracker
 	Rewards    Rewards
 	Log        store.Log
 	Jobs       *joblog.Logs
 	Directory  *directory.Directory
 	Scheduler  scheduler.Options
-	// OrderPause is the time after a take-over in which no order is given, so that
-	// orders of two holders are that far apart.
+	// OrderPause is the time after a takeover in which no order is sent, so that
+	// the orders of two lease holders are at least that far apart.
 	OrderPause time.Duration
-	// Fenced says that engines refuse orders with an old epoch. Then the pause is
-	// kept only where the predecessor may still act.
+	// Fenced is true if engines reject orders with an old epoch. OrderPause then
+	// applies only if the predecessor may still be active.
 	Fenced   bool
 	Logger   *zap.Logger
 	Observer Observer
 }
 
 const (
-	// tickInterval is the time between two ticks of the scheduler.
+	// tickInterval is the time between scheduler ticks.
 	tickInterval = 50 * time.Millisecond
-	// lateTick is how much later than that a tick comes where the process stood still, for want
-	// of a processor. A tick on a busy machine comes some milliseconds late.
-	lateTick = 200 * time.Millisecond
+	// maxTickDelay is the tick delay above which the process counts as stalled, for example
+	// because it got no CPU time. On a busy machine ticks are a few milliseconds late.
+	maxTickDelay = 200 * time.Millisecond
 )
 
-// Coordinator runs the batch jobs while its node holds the lease.
+// Coordinator runs batch jobs while its node holds the lease.
 type Coordinator struct {
 	options Options
 
-	mutex   sync.Mutex
-	table   *routetable.Table
-	newest  map[string]int64
-	machine *scheduler.Machine // nil while the lease is not held
-	// term ends when the lease is lost.
-	term    context.Context
-	endTerm context.CancelFunc
-	writer  *recordWriter
-	lease   election.Lease
-	// termEpoch is the epoch of the term.
+	mutex          sync.Mutex
+	table          *routetable.Table
+	newestVersions map[string]int64
+	machine        *scheduler.Machine // nil while the lease is not held
+	// termCtx ends when the lease is lost.
+	termCtx    context.Context
+	cancelTerm context.CancelFunc
+	writer     *recordWriter
+	lease      election.Lease
+	// termEpoch is the lease epoch of the current term.
 	termEpoch int64
-	// resigned says that the term goes on only until its successor takes over.
+	// resigned is true while a resigned term continues its runs until the successor takes over.
 	resigned bool
-	// unasked says that the successor may not ask for the runs, so that they are about to end.
-	unasked bool
-	// handed is what the last term that was given up left.
-	handed  handedOver
-	cancels map[scheduler.AttemptID]context.CancelFunc
-	// rewardCancels end the sends of reward calls.
+	// successorWontAsk is true if the successor may not request a handover, so that the
+	// runs end after unaskedGracePeriod.
+	successorWontAsk bool
+	// lastHandover is the handover of the last resigned term.
+	lastHandover   termHandover
+	attemptCancels map[scheduler.AttemptID]context.CancelFunc
+	// rewardCancels cancel reward calls in progress.
 	rewardCancels map[reward.SendID]context.CancelFunc
 	background    conc.WaitGroup
 	closed        bool
-	statedAt      time.Time
-	// tickedAt is when the scheduler of this term last ticked; before, when the term began.
-	tickedAt time.Time
+	stateLoggedAt time.Time
+	// lastTickAt is the time of the scheduler's last tick in this term, initially the start of
+	// the term.
+	lastTickAt time.Time
 }
 
-// New returns a coordinator without the lease.
+// New returns a coordinator that does not hold the lease.
 func New(options Options) *Coordinator {
 	if options.Quarantine == nil {
 		options.Quarantine = crashwatch.NewTracker(crashwatch.Options{})
 	}
 	return &Coordinator{
-		options: options,
-		newest:  make(map[string]int64),
+		options:        options,
+		newestVersions: make(map[string]int64),
 	}
 }
 
-// Run ticks until the context ends.
+// Run ticks the scheduler until the context ends.
 func (c *Coordinator) Run(ctx context.Context) {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
@@ -157,28 +159,28 @@
 			c.background.Wait()
 			return
 		case <-ticker.C:
-			c.input(c.tick)
+			c.withScheduler(c.tick)
 			c.logState()
 		}
 	}
 }
 
-// tick lets the scheduler's time-outs take effect. Time in which the process stood still counts
-// for no run, since the events that came meanwhile wait to be read. The mutex is held.
+// tick applies the scheduler's timeouts. Time in which the process was stalled does not count
+// against any run, since events that arrived meanwhile are still unread. The caller holds the mutex.
 func (c *Coordinator) tick(now time.Time, machine *scheduler.Machine) {
 	if clock.Refresh() > 0 {
 		now = clock.Now()
 	}
-	if late := now.Sub(c.tickedAt) - tickInterval; late > lateTick {
-		c.options.Logger.Info("stood still", zap.Duration("lasted", late))
-		machine.HandleStoodStill(now, late)
+	if delay := now.Sub(c.lastTickAt) - tickInterval; delay > maxTickDelay {
+		c.options.Logger.Info("stood still", zap.Duration("lasted", delay))
+		machine.HandleStoodStill(now, delay)
 	}
-	c.tickedAt = now
+	c.lastTickAt = now
 	machine.Tick(now)
 }
 
-// close ends the term and begins no other. All goroutines are started under the
-// mutex while a term lasts, so that none is added once they are waited for.
+// close ends the term and prevents another. Goroutines are only started during a term,
+// with the mutex held, so none is added once Run waits for them.
 func (c *Coordinator) close() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -188,28 +190,29 @@
 	}
 }
 
-// input gives the scheduler an input and carries out what follows.
-func (c *Coordinator) input(apply func(time.Time, *scheduler.Machine)) {
+// withScheduler applies an input to the scheduler and executes the resulting decisions. It does
+// nothing outside a term.
+func (c *Coordinator) withScheduler(apply func(time.Time, *scheduler.Machine)) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.machine == nil {
 		return
 	}
 	apply(clock.Now(), c.machine)
-	c.carryOut(c.machine.Take())
+	c.execute(c.machine.Take())
 }
 
-// stateInterval is the time between two logs of the scheduler's state.
+// stateInterval is the time between log entries of the scheduler's state.
 const stateInterval = 500 * time.Millisecond
 
-// logState logs what the scheduler sees, at the level debug.
+// logState logs the scheduler's state at debug level.
 func (c *Coordinator) logState() {
 	entry := c.options.Logger.Check(zap.DebugLevel, "state")
 	now := clock.Now()
-	if entry == nil || now.Sub(c.statedAt) < stateInterval {
+	if entry == nil || now.Sub(c.stateLoggedAt) < stateInterval {
 		return
 	}
-	c.statedAt = now
+	c.stateLoggedAt = now
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.machine == nil {
@@ -219,7 +222,7 @@
 	entry.Write(zap.Any("engines", engines), zap.Any("jobs", jobs))
 }
 
-// State returns what the coordinator does now.
+// State returns a snapshot of the coordinator's activity.
 func (c *Coordinator) State() State {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -232,7 +235,7 @@
 	}
 }
 
-// Demand returns the number of open items by service, nil while this node does not coordinate.
+// Demand returns the number of open items by service, or nil while this node is not the coordinator.
 func (c *Coordinator) Demand() map[string]int {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -242,32 +245,32 @@
 	return c.machine.Demand()
 }
 
-// ObserveTable takes a new configuration.
+// ObserveTable applies a new configuration.
 func (c *Coordinator) ObserveTable(table *routetable.Table) {
 	c.mutex.Lock()
 	c.table = table
 	c.mutex.Unlock()
-	c.input(func(now time.Time, machine *scheduler.Machine) { machine.HandleTable(now, table) })
+	c.withScheduler(func(now time.Time, machine *scheduler.Machine) { machine.HandleTable(now, table) })
 }
 
-// ObserveQuarantine tells that what is known against requests and items has changed.
+// ObserveQuarantine passes changed suspicions against requests and items to the scheduler.
 func (c *Coordinator) ObserveQuarantine() {
-	c.input(func(now time.Time, machine *scheduler.Machine) {
+	c.withScheduler(func(now time.Time, machine *scheduler.Machine) {
 		machine.HandleSuspicions(now, c.options.Quarantine.Suspicions())
 	})
 }
 
-// ObserveVersion takes the newest weight version of a model.
+// ObserveVersion records the newest weight version of a model.
 func (c *Coordinator) ObserveVersion(model string, version int64) {
 	c.mutex.Lock()
-	c.newest[model] = max(c.newest[model], version)
+	c.newestVersions[model] = max(c.newestVersions[model], version)
 	c.mutex.Unlock()
-	c.input(func(now time.Time, machine *scheduler.Machine) { machine.HandleVersion(now, model, version) })
+	c.withScheduler(func(now time.Time, machine *scheduler.Machine) { machine.HandleVersion(now, model, version) })
 }
 
-// ObserveServers tells that the list of servers changed.
+// ObserveServers passes a changed list of servers to the scheduler.
 func (c *Coordinator) ObserveServers() {
-	c.input(c.handleServers)
+	c.withScheduler(c.handleServers)
 }
 
 func (c *Coordinator) handleServers(now time.Time, machine *scheduler.Machine) {
@@ -282,22 +285,23 @@
 	machine.HandleServers(now, servers)
 }
 
-// ObserveLease takes this node's standing in the election.
+// ObserveLease applies this node's standing in the election.
 func (c *Coordinator) ObserveLease(standing election.Standing) {
 	c.setLease(standing)
-	c.input(func(now time.Time, machine *scheduler.Machine) {
+	c.withScheduler(func(now time.Time, machine *scheduler.Machine) {
 		settled := standing.Lease.SettledAt(c.options.OrderPause, c.options.Fenced)
 		machine.HandleLease(now, standing.Lease.Epoch, standing.Held && !now.Before(settled))
 	})
 }
 
-// inputOf is input for the goroutines of a term that may have ended.
-func (c *Coordinator) inputOf(machine *scheduler.Machine, apply func(time.Time)) {
+// withTermScheduler is withScheduler for goroutines whose term may have ended: it does nothing
+// unless machine is the scheduler of the current term.
+func (c *Coordinator) withTermScheduler(machine *scheduler.Machine, apply func(time.Time)) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.machine != machine {
 		return
 	}
 	apply(clock.Now())
-	c.carryOut(machine.Take())
+	c.execute(machine.Take())
 }
--- a/internal/coordinator/handover.go
+++ b/internal/coordinator/handover.go
@@ -16,27 +16,28 @@
 )
 
 const (
-	// takeOverTimeout bounds the asking for what a predecessor leaves.
-	takeOverTimeout = 600 * time.Millisecond
-	// handedOverTries bounds the appends of it to one partition.
-	handedOverTries = 3
-	// resignedFor is how long runs go on of a term that was given up, until a successor takes
-	// them over. One that claims at once does so within half a second; without one, the runs
-	// must have ended before the lease could have been claimed in other ways.
-	resignedFor = 1500 * time.Millisecond
-	// unaskedFor is how long they go on beside a successor that may not ask for them, since it is of a
-	// build that begins their items anew: an item may not run at two engines for longer than 400 ms.
-	unaskedFor = 300 * time.Millisecond
+	// takeoverTimeout bounds the handover request to a predecessor.
+	takeoverTimeout = 600 * time.Millisecond
+	// handoverAppendAttempts is the maximum number of attempts to append a part of a handover.
+	handoverAppendAttempts = 3
+	// resignedGracePeriod is how long the runs of a resigned term continue without a successor
+	// that takes them over. A successor that claims the lease at once takes over within 500 ms.
+	// Without one, the runs must end before the lease could be claimed in other ways.
+	resignedGracePeriod = 1500 * time.Millisecond
+	// unaskedGracePeriod is how long the runs continue after a claim by a successor that may not
+	// request a handover, because its build restarts their items. An item may not run at two
+	// engines for longer than 400 ms.
+	unaskedGracePeriod = 300 * time.Millisecond
 )
 
-// handedOver is what a term that was given up left.
-type handedOver struct {
-	epoch int64
-	left  liveness.HandedOver
+// termHandover is the handover of a resigned term.
+type termHandover struct {
+	epoch    int64
+	handover liveness.Handover
 }
 
-// Yield gives up the term of an epoch: nothing is started or ordered any more. Its runs go on
-// until the successor takes them over.
+// Yield resigns the term of an epoch: it starts no runs and sends no orders any more. Its runs
+// continue until the successor takes them over.
 func (c *Coordinator) Yield(epoch int64) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -45,7 +46,7 @@
 	}
 }
 
-// Resign gives up the term, if there is one, since this process is about to end.
+// Resign resigns the current term, if any, because this process is about to end.
 func (c *Coordinator) Resign() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -60,56 +61,56 @@
 	}
 	c.resigned = true
 	epoch := c.termEpoch
-	c.startNothingLocked()
+	c.quiesceLocked()
 	c.options.Logger.Info("term given up", zap.Int64("epoch", epoch), zap.String("how", how))
-	time.AfterFunc(resignedFor, func() { c.HandOver(epoch) })
+	time.AfterFunc(resignedGracePeriod, func() { c.HandOver(epoch) })
 }
 
-// noteSuccessorLocked takes that another process has claimed the lease that this one gave up.
-func (c *Coordinator) noteSuccessorLocked(asks bool) {
-	if asks || c.unasked {
+// noteSuccessorLocked records that another process has claimed the lease that this one gave up.
+func (c *Coordinator) noteSuccessorLocked(asksForHandover bool) {
+	if asksForHandover || c.successorWontAsk {
 		return
 	}
-	c.unasked = true
+	c.successorWontAsk = true
 	epoch := c.termEpoch
-	time.AfterFunc(unaskedFor, func() { c.HandOver(epoch) })
+	time.AfterFunc(unaskedGracePeriod, func() { c.HandOver(epoch) })
 }
 
-// startNothingLocked has the term start and order nothing any more; its runs go on.
-func (c *Coordinator) startNothingLocked() {
+// quiesceLocked stops new runs and orders; the current runs continue.
+func (c *Coordinator) quiesceLocked() {
 	c.machine.Resign(clock.Now())
-	c.carryOut(c.machine.Take())
+	c.execute(c.machine.Take())
 }
 
-// HandOver ends the runs of a term that was given up, and returns what its successor needs; the
-// same again whenever it is asked.
-func (c *Coordinator) HandOver(epoch int64) liveness.HandedOver {
+// HandOver ends the runs of a resigned term and returns the state that its successor needs. It is
+// idempotent.
+func (c *Coordinator) HandOver(epoch int64) liveness.Handover {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.resigned && c.termEpoch == epoch {
 		c.handOverLocked()
 	}
-	if c.handed.epoch != epoch {
-		return liveness.HandedOver{}
+	if c.lastHandover.epoch != epoch {
+		return liveness.Handover{}
 	}
-	return c.handed.left
+	return c.lastHandover.handover
 }
 
 func (c *Coordinator) handOverLocked() {
 	c.writer.dropProgress()
 	c.machine.SaveCheckpoints(clock.Now())
 	output := c.machine.Take()
-	// The texts go to the successor all together: what the writer had appended of them by now
-	// would be missing from what is pending there.
+	// Progress is handed over as a whole: records that the writer had already appended would be
+	// missing from its pending records.
 	progress := c.progressRecords(output.Progress)
 	output.Progress = nil
-	c.carryOut(output)
-	c.handed = handedOver{epoch: c.termEpoch, left: liveness.HandedOver{Pending: append(c.writer.pending(), progress...), Whole: true}}
+	c.execute(output)
+	c.lastHandover = termHandover{epoch: c.termEpoch, handover: liveness.Handover{Pending: append(c.writer.pending(), progress...), Whole: true}}
 	c.endTermLocked()
-	c.options.Logger.Info("term handed over", zap.Int64("epoch", c.termEpoch), zap.Int("partitions", len(c.handed.left.Pending)))
+	c.options.Logger.Info("term handed over", zap.Int64("epoch", c.termEpoch), zap.Int("partitions", len(c.lastHandover.handover.Pending)))
 }
 
-// progressRecords returns the records of progress, in parts of one append each.
+// progressRecords encodes progress into parts of one append each.
 func (c *Coordinator) progressRecords(saved []scheduler.Progress) []liveness.Pending {
 	groups := make(map[store.Partition][][][]byte)
 	for _, progress := range saved {
@@ -119,59 +120,60 @@
 	}
 	var pending []liveness.Pending
 	for at, records := range groups {
-		pending = append(pending, inCalls(at, records)...)
+		pending = append(pending, splitAppends(at, records)...)
 	}
 	return pending
 }
 
-// takeOver has the predecessor end its runs and returns what it left; that is whole where nothing
-// else needs to be read of it.
-func (c *Coordinator) takeOver(term context.Context, from election.Yielded) liveness.HandedOver {
-	if from.Address == "" {
-		return liveness.HandedOver{}
+// takeOver has the predecessor end its runs and returns its handover. If the handover is Whole,
+// the predecessor's saved progress need not be read from the store.
+func (c *Coordinator) takeOver(termCtx context.Context, predecessor election.Yielded) liveness.Handover {
+	if predecessor.Address == "" {
+		return liveness.Handover{}
 	}
-	ctx, cancel := context.WithTimeout(term, takeOverTimeout)
+	ctx, cancel := context.WithTimeout(termCtx, takeoverTimeout)
 	defer cancel()
-	left, err := liveness.TakeOver(ctx, from.Address, from.Epoch)
+	handover, err := liveness.TakeOver(ctx, predecessor.Address, predecessor.Epoch)
 	if err != nil {
-		c.options.Logger.Warn("nothing taken over", zap.String("address", from.Address), zap.Error(err))
-		return liveness.HandedOver{}
+		c.options.Logger.Warn("nothing taken over", zap.String("address", predecessor.Address), zap.Error(err))
+		return liveness.Handover{}
 	}
 	records := 0
-	for _, pending := range left.Pending {
+	for _, pending := range handover.Pending {
 		records += len(pending.Records)
 	}
-	c.options.Logger.Info("records taken over", zap.String("address", from.Address), zap.Int64("epoch", from.Epoch),
-		zap.Int("records", records), zap.Bool("whole", left.Whole))
-	return left
+	c.options.Logger.Info("records taken over", zap.String("address", predecessor.Address), zap.Int64("epoch", predecessor.Epoch),
+		zap.Int("records", records), zap.Bool("whole", handover.Whole))
+	return handover
 }
 
-// appendLeft appends what a predecessor left for the partitions of a number. Progress that is
-// known here already is appended meanwhile, for those that come later.
-func (c *Coordinator) appendLeft(term context.Context, left liveness.HandedOver, number int) {
+// appendHandover appends the handed-over records of the partitions with a number. If the handover
+// is Whole, its progress is appended in the background: this node knows it, and only later
+// coordinators read it.
+func (c *Coordinator) appendHandover(termCtx context.Context, handover liveness.Handover, number int) {
 	var results, progress []liveness.Pending
-	for _, pending := range left.Pending {
+	for _, pending := range handover.Pending {
 		switch {
 		case pending.Partition.Number != number:
 		case !pending.Partition.Topic.Known():
-			// Of a later build. The client of the store has no name for it.
-			c.options.Logger.Warn("records of an unknown topic left", zap.Stringer("partition", pending.Partition))
-		case left.Whole && pending.Partition.Topic == store.TopicProgress:
+			// The predecessor runs a later build. The store client has no name for the topic.
+			c.options.Logger.Warn("skipped handed-over records of an unknown topic", zap.Stringer("partition", pending.Partition))
+		case handover.Whole && pending.Partition.Topic == store.TopicProgress:
 			progress = append(progress, pending)
 		default:
 			results = append(results, pending)
 		}
 	}
 	if len(progress) > 0 {
-		c.background.Go(func() { c.appendHandedOver(term, progress) })
+		c.background.Go(func() { c.appendParts(termCtx, progress) })
 	}
-	c.appendHandedOver(term, results)
+	c.appendParts(termCtx, results)
 }
 
-// foldHandedOver returns the progress that was handed over, by partition and item.
-func (c *Coordinator) foldHandedOver(left liveness.HandedOver) map[int]map[string]*batch.Partial {
+// foldHandover returns the handed-over progress by partition and item.
+func (c *Coordinator) foldHandover(handover liveness.Handover) map[int]map[string]*batch.Partial {
 	folds := make(map[int]*batch.ProgressFold)
-	for _, pending := range left.Pending {
+	for _, pending := range handover.Pending {
 		if pending.Partition.Topic != store.TopicProgress {
 			continue
 		}
@@ -182,7 +184,7 @@
 		}
 		for _, record := range pending.Records {
 			if err := fold.Apply(record); err != nil {
-				c.options.Logger.Error("progress void", zap.Stringer("partition", pending.Partition), zap.Error(err))
+				c.options.Logger.Error("invalid progress record", zap.Stringer("partition", pending.Partition), zap.Error(err))
 			}
 		}
 	}
@@ -193,24 +195,24 @@
 	return partials
 }
 
-// appendHandedOver appends parts in order.
-func (c *Coordinator) appendHandedOver(term context.Context, parts []liveness.Pending) {
+// appendParts appends the parts of a handover in order.
+func (c *Coordinator) appendParts(termCtx context.Context, parts []liveness.Pending) {
 	for _, part := range parts {
-		c.appendPart(term, part)
+		c.appendPart(termCtx, part)
 	}
 }
 
-func (c *Coordinator) appendPart(term context.Context, left liveness.Pending) {
-	for range handedOverTries {
-		ctx, cancel := context.WithTimeout(term, appendTimeout)
-		_, err := c.options.Log.Append(ctx, left.Partition, left.Records)
+func (c *Coordinator) appendPart(termCtx context.Context, part liveness.Pending) {
+	for range handoverAppendAttempts {
+		ctx, cancel := context.WithTimeout(termCtx, appendTimeout)
+		_, err := c.options.Log.Append(ctx, part.Partition, part.Records)
 		cancel()
 		if err == nil {
 			return
 		}
-		c.options.Logger.Warn("records not appended", zap.Stringer("partition", left.Partition),
-			zap.Int("records", len(left.Records)), zap.Error(err))
-		if !pause.For(term, appendPause) {
+		c.options.Logger.Warn("records not appended", zap.Stringer("partition", part.Partition),
+			zap.Int("records", len(part.Records)), zap.Error(err))
+		if !pause.For(termCtx, appendPause) {
 			return
 		}
 	}
--- a/internal/coordinator/handover_test.go
+++ b/internal/coordinator/handover_test.go
@@ -19,33 +19,33 @@
 	"dalehook/internal/store/storetest"
 )
 
-// oneEvent is a pool of engines whose runs make one event and then stand still.
-type oneEvent struct{ made chan string }
+// oneEventEngines emit one event per run and then nothing until the run is cancelled.
+type oneEventEngines struct{ emitted chan string }
 
-func (e oneEvent) Run(ctx context.Context, start scheduler.Start, emit func(scheduler.Event)) (scheduler.EndReason, error) {
+func (e oneEventEngines) Run(ctx context.Context, start scheduler.Start, emit func(scheduler.Event)) (scheduler.EndReason, error) {
 	emit(scheduler.Event{ID: "1", Data: "data of " + start.Item.ID, Version: 1})
-	e.made <- start.Item.ID
+	e.emitted <- start.Item.ID
 	<-ctx.Done()
 	return scheduler.EndBroken, ctx.Err()
 }
 
-func (oneEvent) State(context.Context, scheduler.Server, string) (EngineState, error) {
+func (oneEventEngines) State(context.Context, scheduler.Server, string) (EngineState, error) {
 	return EngineState{Version: 1}, nil
 }
 
-func (oneEvent) Load(context.Context, scheduler.Order, int64) (OrderAnswer, error) {
-	return OrderHolds, nil
+func (oneEventEngines) Load(context.Context, scheduler.Order, int64) (OrderAnswer, error) {
+	return OrderSatisfied, nil
 }
 
-// nothingObserved observes nothing.
-type nothingObserved struct{}
+// discardObserver discards all metrics.
+type discardObserver struct{}
 
-func (nothingObserved) ObserveAttempt(scheduler.EndReason)          {}
-func (nothingObserved) ObserveResult(string)                        {}
-func (nothingObserved) ObserveLoad(bool)                            {}
-func (nothingObserved) ObserveReward(reward.Verdict, time.Duration) {}
+func (discardObserver) ObserveAttempt(scheduler.EndReason)          {}
+func (discardObserver) ObserveResult(string)                        {}
+func (discardObserver) ObserveLoad(bool)                            {}
+func (discardObserver) ObserveReward(reward.Verdict, time.Duration) {}
 
-// appendJob has a job of so many items accepted.
+// appendJob appends a job with the given number of items.
 func appendJob(t *testing.T, jobs *joblog.Logs, id string, items int) {
 	t.Helper()
 	job := &batch.Job{ID: id, Host: "h", Path: "/p/1", Model: "m", MinVersion: 1}
@@ -61,20 +61,20 @@
 	}
 }
 
-// run returns a running coordinator that knows a route and an engine of so many slots, and the
-// jobs that it follows in one partition.
-func run(t *testing.T, log store.Log, engines Engines, slots int, logger *zap.Logger) (*Coordinator, *joblog.Logs) {
+// startCoordinator starts a coordinator with one route, one engine with the given number of slots
+// and one job partition. It also returns the job logs.
+func startCoordinator(t *testing.T, log store.Log, engines Engines, slots int, logger *zap.Logger) (*Coordinator, *joblog.Logs) {
 	t.Helper()
-	return runPartitions(t, log, 1, engines, slots, logger)
+	return startCoordinatorWithPartitions(t, log, 1, engines, slots, logger)
 }
 
-// runPartitions is run for jobs in so many partitions.
-func runPartitions(t *testing.T, log store.Log, partitions int, engines Engines, slots int, logger *zap.Logger) (*Coordinator, *joblog.Logs) {
+// startCoordinatorWithPartitions is startCoordinator with the given number of job partitions.
+func startCoordinatorWithPartitions(t *testing.T, log store.Log, partitions int, engines Engines, slots int, logger *zap.Logger) (*Coordinator, *joblog.Logs) {
 	t.Helper()
 	jobs := joblog.NewLogs(joblog.Options{Log: log, Partitions: partitions, Logger: logger})
 	servers := directory.NewDirectory()
 	servers.Replace([]directory.Server{{ID: "s", Service: "pool", Slots: slots, Versions: map[string]int64{"m": 1}}})
-	c := New(Options{Engines: engines, Log: log, Jobs: jobs, Directory: servers, Logger: logger, Observer: nothingObserved{}})
+	c := New(Options{Engines: engines, Log: log, Jobs: jobs, Directory: servers, Logger: logger, Observer: discardObserver{}})
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() { defer close(ended); c.Run(ctx) }()
@@ -87,27 +87,27 @@
 	return c, jobs
 }
 
-// leads has a coordinator lead under an epoch.
-func leads(c *Coordinator, epoch int64) {
+// grantLease gives a coordinator the lease with an epoch.
+func grantLease(c *Coordinator, epoch int64) {
 	now := time.Now()
 	c.ObserveLease(election.Standing{Leading: true, Held: true, Lease: election.Lease{Epoch: epoch, ClaimedAt: now, Until: now.Add(time.Minute)}})
 }
 
-// lead returns a coordinator that runs the items of a job under epoch 1, each of which has made
-// an event.
-func lead(t *testing.T, items int) *Coordinator {
+// startLeading returns a coordinator that runs the items of a job under epoch 1, each of which has
+// emitted an event.
+func startLeading(t *testing.T, items int) *Coordinator {
 	t.Helper()
-	engines := oneEvent{made: make(chan string, items)}
-	c, jobs := run(t, storetest.NewMemory(), engines, items, zap.NewNop())
+	engines := oneEventEngines{emitted: make(chan string, items)}
+	c, jobs := startCoordinator(t, storetest.NewMemory(), engines, items, zap.NewNop())
 	appendJob(t, jobs, "j", items)
-	leads(c, 1)
+	grantLease(c, 1)
 	for range items {
-		<-engines.made
+		<-engines.emitted
 	}
 	return c
 }
 
-func handedTexts(left liveness.HandedOver) int {
+func countProgressRecords(left liveness.Handover) int {
 	texts := 0
 	for _, pending := range left.Pending {
 		if pending.Partition.Topic == store.TopicProgress {
@@ -117,35 +117,34 @@
 	return texts
 }
 
-// All texts are handed over, be the store as quick as it may with what it was given of them.
-func TestAllTextsAreHandedOver(t *testing.T) {
-	const items = 200 // enough for the queue to be at work while they are handed over
+// A handover must hold the progress of all items, however much of it was already appended.
+func TestHandoverIncludesAllProgress(t *testing.T) {
+	const items = 200 // enough to keep the queue busy during the handover
 	for range 5 {
-		c := lead(t, items)
-		if left := c.HandOver(1); left.Whole || len(left.Pending) > 0 {
-			t.Fatalf("handed over before the term was given up: %+v", left)
+		c := startLeading(t, items)
+		if handover := c.HandOver(1); handover.Whole || len(handover.Pending) > 0 {
+			t.Fatalf("handed over before the term was resigned: %+v", handover)
 		}
 		c.Resign()
-		left := c.HandOver(1)
-		if got := handedTexts(left); got != items || !left.Whole {
-			t.Fatalf("%d texts of %d, whole %v", got, items, left.Whole)
+		handover := c.HandOver(1)
+		if got := countProgressRecords(handover); got != items || !handover.Whole {
+			t.Fatalf("%d of %d progress records, whole %v", got, items, handover.Whole)
 		}
-		if again := c.HandOver(1); handedTexts(again) != items {
-			t.Errorf("%d texts when asked again", handedTexts(again))
+		if again := c.HandOver(1); countProgressRecords(again) != items {
+			t.Errorf("%d progress records on a repeated handover", countProgressRecords(again))
 		}
 	}
 }
 
-// Seen: a successor is handed nothing, and begins the items of all jobs anew. It comes about where
-// the process stands still between noting that the lease is given up and telling the coordinator:
-// the election ends the term first. Cause: a term that ended so left nothing behind. Proof: all
-// texts are there for whoever asks under its epoch.
-func TestATermThatEndsBeforeItIsYieldedIsHandedOver(t *testing.T) {
+// If the process stalls between noting that the lease is given up and calling Yield, the election
+// ends the term first. Such a term used to leave no handover, so the successor restarted the items
+// of all jobs.
+func TestTermThatEndsBeforeYieldIsHandedOver(t *testing.T) {
 	const items = 3
-	c := lead(t, items)
+	c := startLeading(t, items)
 	c.ObserveLease(election.Standing{Lease: election.Lease{Epoch: 1}})
 	c.Yield(1)
-	if left := c.HandOver(1); handedTexts(left) != items || !left.Whole {
-		t.Errorf("%d texts of %d, whole %v", handedTexts(left), items, left.Whole)
+	if handover := c.HandOver(1); countProgressRecords(handover) != items || !handover.Whole {
+		t.Errorf("%d of %d progress records, whole %v", countProgressRecords(handover), items, handover.Whole)
 	}
 }
--- a/internal/coordinator/load.go
+++ b/internal/coordinator/load.go
@@ -12,41 +12,41 @@
 	"dalehook/internal/scheduler"
 )
 
-// The timing of loads.
+// Timing of loads.
 const (
 	// engineCallTimeout bounds a call to an engine.
 	engineCallTimeout = time.Second
-	// firstLook is when a load that was taken is first looked at.
-	firstLook = 960 * time.Millisecond
-	// nextLook is the time between the later looks.
-	nextLook = 60 * time.Millisecond
-	// loadTimeout bounds the wait for a load.
+	// firstLoadPoll is the delay before the first poll of an accepted load.
+	firstLoadPoll = 960 * time.Millisecond
+	// loadPollInterval is the time between later polls.
+	loadPollInterval = 60 * time.Millisecond
+	// loadTimeout bounds a load, including the wait for its completion.
 	loadTimeout = 8 * time.Second
-	// unknownPause is how long an order without an answer is left alone.
-	unknownPause = 500 * time.Millisecond
+	// unknownOrderDelay is the delay before the first poll after an order without an answer.
+	unknownOrderDelay = 500 * time.Millisecond
 )
 
-var errEngineBusy = errors.New("engine has another order under way")
+var errEngineBusy = errors.New("engine is executing another order")
 
-// load carries out an order and waits until the engine has the version.
-func (c *Coordinator) load(term context.Context, machine *scheduler.Machine, order scheduler.Order) {
+// load executes an order and waits until the engine has loaded the version.
+func (c *Coordinator) load(termCtx context.Context, machine *scheduler.Machine, order scheduler.Order) {
 	began := clock.Now()
-	ctx, cancel := context.WithTimeout(term, loadTimeout)
+	ctx, cancel := context.WithTimeout(termCtx, loadTimeout)
 	defer cancel()
-	version, ordered, err := c.order(ctx, order)
+	version, ordered, err := c.orderLoad(ctx, order)
 	c.options.Logger.Info("load ordered", zap.String("server", order.Server.ID), zap.String("model", order.Model),
 		zap.Int64("version", order.Version), zap.Int64("epoch", order.Epoch), zap.Int64("loaded", version),
 		zap.Duration("took", clock.Since(began)), zap.Error(err))
 	c.options.Observer.ObserveLoad(err == nil && version >= order.Version)
-	c.inputOf(machine, func(now time.Time) {
+	c.withTermScheduler(machine, func(now time.Time) {
 		machine.HandleLoad(now, order.Server, order.Model, scheduler.Load{Ordered: ordered && err == nil, Version: version})
 	})
 }
 
-// order returns the version that the engine has afterwards, 0 when that is not
-// known, and whether the engine took the order and was seen to carry it out.
-func (c *Coordinator) order(ctx context.Context, order scheduler.Order) (version int64, ordered bool, err error) {
-	state, err := c.state(ctx, order)
+// orderLoad sends a load order if the engine needs one. It returns the engine's version
+// afterwards, 0 if unknown, and whether the engine was seen to execute the order.
+func (c *Coordinator) orderLoad(ctx context.Context, order scheduler.Order) (version int64, ordered bool, err error) {
+	state, err := c.engineState(ctx, order)
 	if err != nil {
 		return 0, false, err
 	}
@@ -54,7 +54,7 @@
 		return state.Version, false, nil
 	}
 	if state.Busy {
-		version, err = c.await(ctx, order, 0, errEngineBusy)
+		version, err = c.awaitVersion(ctx, order, 0, errEngineBusy)
 		return version, false, err
 	}
 	if !c.mayOrder(order) {
@@ -64,19 +64,19 @@
 	answer, err := c.options.Engines.Load(call, order, state.Orders)
 	cancel()
 	switch answer {
-	case OrderHolds:
+	case OrderSatisfied:
 		return order.Version, false, nil
-	case OrderUnderWay:
-		version, err = c.await(ctx, order, firstLook, nil)
+	case OrderInProgress:
+		version, err = c.awaitVersion(ctx, order, firstLoadPoll, nil)
 		return version, true, err
 	case OrderUnknown:
-		version, err = c.await(ctx, order, unknownPause, err)
+		version, err = c.awaitVersion(ctx, order, unknownOrderDelay, err)
 		return version, false, err
 	}
 	return 0, false, err
 }
 
-// mayOrder checks the lease once more right before an order leaves.
+// mayOrder checks that the lease is still in force, right before an order is sent.
 func (c *Coordinator) mayOrder(order scheduler.Order) bool {
 	clock.Refresh()
 	c.mutex.Lock()
@@ -84,23 +84,23 @@
 	return c.machine != nil && !c.resigned && c.lease.Epoch == order.Epoch && clock.Now().Before(c.lease.Until)
 }
 
-func (c *Coordinator) state(ctx context.Context, order scheduler.Order) (EngineState, error) {
+func (c *Coordinator) engineState(ctx context.Context, order scheduler.Order) (EngineState, error) {
 	ctx, cancel := context.WithTimeout(ctx, engineCallTimeout)
 	defer cancel()
 	return c.options.Engines.State(ctx, order.Server, order.Model)
 }
 
-// await looks at the engine until it has the version or is idle without it.
-func (c *Coordinator) await(ctx context.Context, order scheduler.Order, look time.Duration, cause error) (int64, error) {
-	for pause.For(ctx, look) {
-		state, err := c.state(ctx, order)
+// awaitVersion polls the engine until it has the version or is idle without it.
+func (c *Coordinator) awaitVersion(ctx context.Context, order scheduler.Order, delay time.Duration, cause error) (int64, error) {
+	for pause.For(ctx, delay) {
+		state, err := c.engineState(ctx, order)
 		if err != nil {
 			return 0, err
 		}
 		if state.Version >= order.Version || !state.Busy {
 			return state.Version, cause
 		}
-		look = nextLook
+		delay = loadPollInterval
 	}
 	return 0, ctx.Err()
 }
--- a/internal/coordinator/output.go
+++ b/internal/coordinator/output.go
@@ -14,22 +14,22 @@
 	"dalehook/internal/store"
 )
 
-// carryOut starts what the scheduler decided. The mutex is held.
-func (c *Coordinator) carryOut(output scheduler.Output) {
+// execute executes the scheduler's decisions. The caller holds the mutex.
+func (c *Coordinator) execute(output scheduler.Output) {
 	for _, cancelled := range output.Cancels {
-		if cancel := c.cancels[cancelled.Attempt]; cancel != nil {
+		if cancel := c.attemptCancels[cancelled.Attempt]; cancel != nil {
 			cancel()
 		}
 	}
 	for _, start := range output.Starts {
-		ctx, cancel := context.WithCancel(c.term)
-		c.cancels[start.Attempt] = cancel
+		ctx, cancel := context.WithCancel(c.termCtx)
+		c.attemptCancels[start.Attempt] = cancel
 		machine := c.machine
 		c.background.Go(func() { c.run(ctx, machine, start) })
 	}
 	for _, order := range output.Orders {
-		term, machine := c.term, c.machine
-		c.background.Go(func() { c.load(term, machine, order) })
+		termCtx, machine := c.termCtx, c.machine
+		c.background.Go(func() { c.load(termCtx, machine, order) })
 	}
 	for _, progress := range output.Progress {
 		c.appendProgress(progress)
@@ -46,11 +46,11 @@
 	}
 }
 
-// encodeProgress returns the record of a progress, and the partition where it stands.
+// encodeProgress returns the encoded progress and the partition to append it to.
 func (c *Coordinator) encodeProgress(progress scheduler.Progress) (at store.Partition, record []byte, ok bool) {
 	record, err := batch.EncodeProgress(&progress.Progress)
 	if err != nil {
-		c.options.Logger.Error("progress lost", zap.String("item", progress.ItemID), zap.Error(err))
+		c.options.Logger.Error("progress not encoded", zap.String("item", progress.ItemID), zap.Error(err))
 		return store.Partition{}, nil, false
 	}
 	return store.Partition{Topic: store.TopicProgress, Number: c.options.Jobs.PartitionOf(progress.JobID)}, record, true
@@ -59,7 +59,7 @@
 func (c *Coordinator) appendResult(result batch.Result) {
 	records, err := batch.EncodeResult(&result)
 	if err != nil {
-		c.options.Logger.Error("result lost", zap.String("item", result.ItemID), zap.Error(err))
+		c.options.Logger.Error("result not encoded", zap.String("item", result.ItemID), zap.Error(err))
 		return
 	}
 	c.options.Observer.ObserveResult(result.Outcome.String())
@@ -74,7 +74,7 @@
 	events := 0
 	reason, err := c.options.Engines.Run(ctx, start, func(event scheduler.Event) {
 		events++
-		c.inputOf(machine, func(now time.Time) { machine.HandleEvent(now, start.Attempt, event) })
+		c.withTermScheduler(machine, func(now time.Time) { machine.HandleEvent(now, start.Attempt, event) })
 	})
 	if ctx.Err() != nil {
 		reason = scheduler.EndCancelled
@@ -87,16 +87,16 @@
 		zap.Int("running", start.Inputs.Attempts), zap.Duration("gap", start.Inputs.Gap),
 		zap.Duration("read_age", start.Inputs.ReadAge), zap.Duration("took", clock.Since(began)),
 		zap.Stringer("reason", reason), zap.Error(err))
-	c.noteEnd(start, began, reason, events > 0)
-	c.inputOf(machine, func(now time.Time) {
-		c.cancels[start.Attempt]()
-		delete(c.cancels, start.Attempt)
+	c.recordRunEnd(start, began, reason, events > 0)
+	c.withTermScheduler(machine, func(now time.Time) {
+		c.attemptCancels[start.Attempt]()
+		delete(c.attemptCancels, start.Attempt)
 		machine.HandleAttemptEnd(now, start.Attempt, reason)
 	})
 }
 
-// noteEnd tells the quarantine how a run ended, before the item waits for the next one.
-func (c *Coordinator) noteEnd(start scheduler.Start, began time.Time, reason scheduler.EndReason, progressed bool) {
+// recordRunEnd reports the end of a run to the quarantine, before the item is queued for its next run.
+func (c *Coordinator) recordRunEnd(start scheduler.Start, began time.Time, reason scheduler.EndReason, progressed bool) {
 	tracker := c.options.Quarantine
 	fingerprint := scheduler.Fingerprint(start.Tenant, start.Host, start.Item)
 	switch reason {
--- a/internal/coordinator/progress.go
+++ b/internal/coordinator/progress.go
@@ -14,17 +14,17 @@
 )
 
 const (
-	// recoverTimeout bounds the reading of what predecessors saved in a partition, whose
-	// jobs wait for it: a weak machine reads it over a thin link.
+	// recoverTimeout bounds the read of a partition's saved progress, for which the partition's
+	// jobs wait. It allows for a slow machine behind a low-bandwidth link.
 	recoverTimeout = 2500 * time.Millisecond
-	// progressKept is how long saved progress is of use.
-	progressKept = 5 * time.Second
+	// progressRetention is how long saved progress is useful.
+	progressRetention = 5 * time.Second
 	// trimInterval is the time between two trims of a partition.
 	trimInterval = time.Second
 )
 
-// recoverProgress reads what predecessors saved for the jobs of a partition, by item. What
-// can not be read in time is left out, and its items start anew.
+// recoverProgress reads the progress that predecessors saved for the jobs of a partition, by item.
+// On a failure or timeout it returns nil, and the items start from the beginning.
 func (c *Coordinator) recoverProgress(ctx context.Context, number int) map[string]*batch.Partial {
 	ctx, cancel := context.WithTimeout(ctx, recoverTimeout)
 	defer cancel()
@@ -38,61 +38,61 @@
 
 func readProgress(ctx context.Context, log store.Log, at store.Partition) (*batch.ProgressFold, error) {
 	fold := batch.NewProgressFold()
-	var void error
+	var applyErr error
 	_, err := store.ReadOn(ctx, log, at, 0, func(read store.Batch) bool {
 		for _, record := range read.Records {
-			if void = fold.Apply(record.Value); void != nil {
+			if applyErr = fold.Apply(record.Value); applyErr != nil {
 				return false
 			}
 		}
 		return true
 	})
-	if err := errors.Join(err, void); err != nil {
+	if err := errors.Join(err, applyErr); err != nil {
 		return nil, err
 	}
 	return fold, nil
 }
 
-// trimmer drops progress that is of no more use.
-type trimmer struct {
-	log    store.Log
-	term   context.Context
-	logger *zap.Logger
+// progressTrimmer trims progress that is no longer useful.
+type progressTrimmer struct {
+	log     store.Log
+	termCtx context.Context
+	logger  *zap.Logger
 
 	mutex sync.Mutex
 	marks map[store.Partition]*trimMark
 }
 
-// trimMark is an offset that may be trimmed to once its time has come.
+// trimMark is an offset up to which the partition is trimmed once it is older than progressRetention.
 type trimMark struct {
 	offset int64
 	since  time.Time
-	// next is the offset of the mark that follows.
+	// next is the offset of the following mark.
 	next      int64
 	nextSince time.Time
 }
 
-func newTrimmer(term context.Context, log store.Log, logger *zap.Logger) *trimmer {
-	return &trimmer{log: log, term: term, logger: logger, marks: make(map[store.Partition]*trimMark)}
+func newProgressTrimmer(termCtx context.Context, log store.Log, logger *zap.Logger) *progressTrimmer {
+	return &progressTrimmer{log: log, termCtx: termCtx, logger: logger, marks: make(map[store.Partition]*trimMark)}
 }
 
-// appended notes an append, and trims when an older one is old enough.
-func (t *trimmer) appended(at store.Partition, offset int64) {
+// noteAppend records an append and trims the partition if an earlier mark has expired.
+func (t *progressTrimmer) noteAppend(at store.Partition, offset int64) {
 	if at.Topic != store.TopicProgress {
 		return
 	}
-	before, due := t.note(clock.Now(), at, offset)
+	before, due := t.advance(clock.Now(), at, offset)
 	if !due {
 		return
 	}
-	ctx, cancel := context.WithTimeout(t.term, appendTimeout)
+	ctx, cancel := context.WithTimeout(t.termCtx, appendTimeout)
 	defer cancel()
 	if err := t.log.Trim(ctx, at, before); err != nil {
 		t.logger.Info("progress not trimmed", zap.Stringer("partition", at), zap.Error(err))
 	}
 }
 
-func (t *trimmer) note(now time.Time, at store.Partition, offset int64) (before int64, due bool) {
+func (t *progressTrimmer) advance(now time.Time, at store.Partition, offset int64) (before int64, due bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	mark := t.marks[at]
@@ -103,7 +103,7 @@
 	if now.Sub(mark.nextSince) < trimInterval {
 		return 0, false
 	}
-	if now.Sub(mark.since) < progressKept {
+	if now.Sub(mark.since) < progressRetention {
 		mark.next, mark.nextSince = offset, now
 		return 0, false
 	}
--- a/internal/coordinator/lost_test.go
+++ b/internal/coordinator/rejected_test.go
@@ -13,26 +13,24 @@
 	"dalehook/internal/store/storetest"
 )
 
-// smallCalls is a store that refuses calls beyond a size for good.
-type smallCalls struct {
+// sizeLimitedLog permanently rejects appends above a size.
+type sizeLimitedLog struct {
 	*storetest.Memory
-	most int
+	maxBytes int
 }
 
-func (s smallCalls) Append(ctx context.Context, at store.Partition, payloads [][]byte) (int64, error) {
-	if sizeOf(payloads) > s.most {
+func (s sizeLimitedLog) Append(ctx context.Context, at store.Partition, payloads [][]byte) (int64, error) {
+	if sizeInBytes(payloads) > s.maxBytes {
 		return 0, fmt.Errorf("append: status 413: %w", store.ErrInvalid)
 	}
 	return s.Memory.Append(ctx, at, payloads)
 }
 
-// An item whose result the store refuses for good is listed all the same, as dead: whoever reads the job learns that
-// there will be no text.
-//
-// Seen: none; by a review. The item was never listed, and its trainer waited for it until its job's end.
-// Cause: records that are refused for good were logged and dropped.
-func TestAnItemWhoseResultIsRefusedForGoodIsListed(t *testing.T) {
-	log := smallCalls{Memory: storetest.NewMemory(), most: 1 << 10}
+// An item whose result the store permanently rejects is listed as dead, so that readers of the job learn that
+// there will be no text. If the rejected records were only logged and dropped, the item would never be listed
+// and its trainer would wait until the end of the job.
+func TestItemWithPermanentlyRejectedResultIsListedAsDead(t *testing.T) {
+	log := sizeLimitedLog{Memory: storetest.NewMemory(), maxBytes: 1 << 10}
 	job, err := batch.EncodeJob(&batch.Job{ID: "j", Items: []batch.Item{{ID: "large"}, {ID: "small"}}})
 	if err != nil {
 		t.Fatal(err)
@@ -52,7 +50,7 @@
 		writer.add(jobs, encoded)
 	}
 	outcomes := make(map[string]batch.Result)
-	eventually(t, "both are listed", func() bool {
+	eventually(t, "both items listed", func() bool {
 		fold := batch.NewFold()
 		for _, text := range records(t, log.Memory, jobs) {
 			if _, err := fold.Apply([]byte(text)); err != nil {
@@ -65,9 +63,9 @@
 		return len(outcomes) == 2
 	})
 	if large := outcomes["large"]; large.Outcome != batch.OutcomeDead || large.Text != "" || large.Versions != nil {
-		t.Errorf("the large one: %s, %d bytes, versions %v", large.Outcome, len(large.Text), large.Versions)
+		t.Errorf("large item: %s, %d bytes, versions %v", large.Outcome, len(large.Text), large.Versions)
 	}
 	if small := outcomes["small"]; small.Outcome != batch.OutcomeCompleted || small.Text != "text" {
-		t.Errorf("the small one: %+v", small)
+		t.Errorf("small item: %+v", small)
 	}
 }
--- a/internal/coordinator/rewards.go
+++ b/internal/coordinator/rewards.go
@@ -13,11 +13,11 @@
 
 // Rewards makes reward calls.
 type Rewards interface {
-	// Score makes a call until it is answered, its deadline is over or the context ends.
+	// Score repeats a call until it is answered, its deadline passes or the context ends.
 	Score(ctx context.Context, send reward.Send) reward.Answer
 }
 
-// sendRewards starts the reward calls that the scheduler decided. The mutex is held.
+// sendRewards cancels and starts reward calls as the scheduler decided. The caller holds the mutex.
 func (c *Coordinator) sendRewards(output scheduler.Output) {
 	for _, id := range output.WithdrawnRewards {
 		if cancel := c.rewardCancels[id]; cancel != nil {
@@ -25,7 +25,7 @@
 		}
 	}
 	for _, send := range output.Rewards {
-		ctx, cancel := context.WithCancel(c.term)
+		ctx, cancel := context.WithCancel(c.termCtx)
 		c.rewardCancels[send.ID] = cancel
 		machine := c.machine
 		c.background.Go(func() { c.score(ctx, machine, send) })
@@ -35,7 +35,7 @@
 func (c *Coordinator) score(ctx context.Context, machine *scheduler.Machine, send reward.Send) {
 	began := clock.Now()
 	answer := c.options.Rewards.Score(ctx, send)
-	c.inputOf(machine, func(now time.Time) {
+	c.withTermScheduler(machine, func(now time.Time) {
 		c.rewardCancels[send.ID]()
 		delete(c.rewardCancels, send.ID)
 		verdict := machine.HandleReward(now, send.ID, answer)
--- a/internal/coordinator/takeover_test.go
+++ b/internal/coordinator/takeover_test.go
@@ -18,12 +18,13 @@
 	"dalehook/internal/store/storetest"
 )
 
-// storeCallLimit is the size in bytes beyond which the store refuses an append for good: the
-// least that the platform's store takes.
-const storeCallLimit = 2 << 20
+// storeAppendLimit is the size in bytes above which the store permanently rejects an append: the
+// smallest limit of the platform's stores.
+const storeAppendLimit = 2 << 20
 
-// A term hands over as much as an outage of the store kept it from appending.
-func TestWhatIsHandedOverFitsTheStoresCalls(t *testing.T) {
+// After a store outage a handover holds everything that could not be appended, so it is split into
+// parts that the store accepts.
+func TestHandoverPartsFitStoreAppendLimit(t *testing.T) {
 	const groups, size = 30, 100 << 10
 	memory := storetest.NewMemory()
 	memory.SetFault(storetest.FaultRefuse)
@@ -35,40 +36,40 @@
 	for _, pending := range writer.pending() {
 		total += len(pending.Records)
 		if len(pending.Records)%2 != 0 {
-			t.Errorf("a group is cut: %d records", len(pending.Records))
+			t.Errorf("a group was split: %d records", len(pending.Records))
 		}
-		if size := sizeOf(pending.Records); size > storeCallLimit {
-			t.Errorf("%d bytes are to be appended at once", size)
+		if size := sizeInBytes(pending.Records); size > storeAppendLimit {
+			t.Errorf("part of %d bytes is too large for one append", size)
 		}
 	}
 	if total != 2*groups {
-		t.Errorf("%d records of %d", total, 2*groups)
+		t.Errorf("%d of %d records", total, 2*groups)
 	}
 }
 
-// deafPartition is a store that does not answer appends to one partition.
-type deafPartition struct {
+// unresponsivePartition is a store that does not answer appends to one partition.
+type unresponsivePartition struct {
 	*storetest.Memory
-	at store.Partition
+	unresponsive store.Partition
 }
 
-func (d deafPartition) Append(ctx context.Context, at store.Partition, payloads [][]byte) (int64, error) {
-	if at == d.at {
+func (d unresponsivePartition) Append(ctx context.Context, at store.Partition, payloads [][]byte) (int64, error) {
+	if at == d.unresponsive {
 		<-ctx.Done()
 		return 0, ctx.Err()
 	}
 	return d.Memory.Append(ctx, at, payloads)
 }
 
-// predecessor answers as a process that gave its term up and left records in a partition.
-type predecessor struct{ left liveness.HandedOver }
+// resignedPredecessor answers handover requests as a process that resigned its term.
+type resignedPredecessor struct{ handover liveness.Handover }
 
-func (p predecessor) Yield(int64) bool                   { return true }
-func (p predecessor) HandOver(int64) liveness.HandedOver { return p.left }
-func (p predecessor) NoteAsked(string)                   {}
+func (p resignedPredecessor) Yield(int64) bool                 { return true }
+func (p resignedPredecessor) HandOver(int64) liveness.Handover { return p.handover }
+func (p resignedPredecessor) NoteAsked(string)                 {}
 
-// serve returns the address where a predecessor answers.
-func (p predecessor) serve(t *testing.T) string {
+// serve starts a server for the predecessor and returns its address.
+func (p resignedPredecessor) serve(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -84,8 +85,8 @@
 	return listener.Addr().String()
 }
 
-// jobIn returns the id of a job that stands in a partition.
-func jobIn(jobs *joblog.Logs, partition int) string {
+// jobIDInPartition returns a job ID that maps to a partition.
+func jobIDInPartition(jobs *joblog.Logs, partition int) string {
 	for i := 0; ; i++ {
 		if id := fmt.Sprint("j", i); jobs.PartitionOf(id) == partition {
 			return id
@@ -93,17 +94,16 @@
 	}
 }
 
-// Seen: the items of all jobs begin seconds late after a take-over. It comes about where the
-// store does not answer for one partition, to which the predecessor left records. Cause: no
-// partition was followed before the records of all had been appended, or given up after three
-// tries. Proof: the job in the other partition begins at once.
-func TestAPartitionThatTakesNothingHoldsNoOtherUp(t *testing.T) {
-	log := deafPartition{Memory: storetest.NewMemory(), at: store.Partition{Topic: store.TopicJobs, Number: 0}}
-	left := liveness.HandedOver{Whole: true, Pending: []liveness.Pending{{Partition: log.at, Records: [][]byte{[]byte("l{}")}}}}
-	address := predecessor{left: left}.serve(t)
+// A takeover must not wait for a partition whose appends the store does not answer. When no
+// partition was followed until the handed-over records of all were appended, or dropped after three
+// attempts, the items of all jobs started seconds late.
+func TestUnresponsivePartitionDoesNotDelayOthers(t *testing.T) {
+	log := unresponsivePartition{Memory: storetest.NewMemory(), unresponsive: store.Partition{Topic: store.TopicJobs, Number: 0}}
+	handover := liveness.Handover{Whole: true, Pending: []liveness.Pending{{Partition: log.unresponsive, Records: [][]byte{[]byte("l{}")}}}}
+	address := resignedPredecessor{handover: handover}.serve(t)
 	engines := newQuickEngines()
-	c, jobs := runPartitions(t, log, 2, engines, 8, zap.NewNop())
-	id := jobIn(jobs, 1)
+	c, jobs := startCoordinatorWithPartitions(t, log, 2, engines, 8, zap.NewNop())
+	id := jobIDInPartition(jobs, 1)
 	appendJob(t, jobs, id, 1)
 	now := time.Now()
 	c.ObserveLease(election.Standing{Leading: true, Held: true, Lease: election.Lease{
@@ -111,14 +111,14 @@
 	}})
 	awaitItem(t, engines, id+"a")
 	if took := time.Since(now); took > appendTimeout {
-		t.Errorf("the item began after %v", took)
+		t.Errorf("item started after %v", took)
 	}
 }
 
-// pickyLog is a store that refuses some records for good.
-type pickyLog struct{ *storetest.Memory }
+// rejectingLog permanently rejects the record "refused".
+type rejectingLog struct{ *storetest.Memory }
 
-func (p pickyLog) Append(ctx context.Context, at store.Partition, payloads [][]byte) (int64, error) {
+func (p rejectingLog) Append(ctx context.Context, at store.Partition, payloads [][]byte) (int64, error) {
 	for _, payload := range payloads {
 		if string(payload) == "refused" {
 			return 0, fmt.Errorf("append: status 413: %w", store.ErrInvalid)
@@ -127,13 +127,12 @@
 	return p.Memory.Append(ctx, at, payloads)
 }
 
-// Seen: a partition gets no results any more. It comes about where the store refuses an append
-// for good, such as one with a record beyond its size. Cause: it was tried again without end,
-// with all that came later waiting behind it. Proof: what came before and after it is appended.
-func TestARecordThatIsRefusedForGoodHoldsNoneUp(t *testing.T) {
+// The store may reject an append permanently, for example because a record is too large. When such
+// an append was retried forever, later records waited behind it and the partition got no more results.
+func TestPermanentlyRejectedRecordDoesNotBlockQueue(t *testing.T) {
 	memory := storetest.NewMemory()
 	memory.SetFault(storetest.FaultRefuse)
-	writer := newRecordWriter(t.Context(), pickyLog{memory}, zap.NewNop())
+	writer := newRecordWriter(t.Context(), rejectingLog{memory}, zap.NewNop())
 	for _, text := range []string{"a", "b", "refused", "c"} {
 		writer.add(jobs, [][]byte{[]byte(text)})
 	}
--- a/internal/coordinator/term.go
+++ b/internal/coordinator/term.go
@@ -15,8 +15,8 @@
 	"dalehook/internal/scheduler"
 )
 
-// setLease begins or ends a term. A term goes on while the lease could not be renewed and nobody else claimed it:
-// runs do no harm then, and only orders need a lease in force.
+// setLease begins or ends a term. A term continues while the lease could not be renewed but no other
+// process has claimed it: runs are safe then, and only orders require a lease in force.
 func (c *Coordinator) setLease(standing election.Standing) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -24,21 +24,21 @@
 		switch {
 		case standing.Leading && standing.Lease.Epoch == c.termEpoch:
 		case !c.resigned:
-			// The lease may have been yielded just now, before the coordinator was told: whoever
-			// claims it next asks for what is left.
-			c.startNothingLocked()
+			// The lease may just have been yielded, before Yield was called here: the next
+			// holder requests the handover.
+			c.quiesceLocked()
 			c.handOverLocked()
 		case standing.Leading:
-			// Nobody else has claimed what this process gave up.
+			// No other process has claimed the lease that this one gave up.
 			c.handOverLocked()
 		case standing.Coordinator != "":
 			c.noteSuccessorLocked(standing.CoordinatorAsks)
 		}
 	}
 	c.lease = standing.Lease
-	if standing.Lease.Epoch == c.handed.epoch {
-		// The lease stands until its release is appended; what was begun under it belongs to
-		// the successor.
+	if standing.Lease.Epoch == c.lastHandover.epoch {
+		// The lease stays valid until its release is appended, but its term has already been
+		// handed over to the successor.
 		return
 	}
 	if c.closed || !standing.Leading || c.machine != nil || c.table == nil {
@@ -48,69 +48,69 @@
 	options.Term = standing.Lease.Epoch
 	c.machine = scheduler.NewMachine(options)
 	c.termEpoch = standing.Lease.Epoch
-	c.cancels = make(map[scheduler.AttemptID]context.CancelFunc)
+	c.attemptCancels = make(map[scheduler.AttemptID]context.CancelFunc)
 	c.rewardCancels = make(map[reward.SendID]context.CancelFunc)
-	c.term, c.endTerm = context.WithCancel(context.Background())
-	c.writer = newRecordWriter(c.term, c.options.Log, c.options.Logger)
-	c.writer.appended = newTrimmer(c.term, c.options.Log, c.options.Logger).appended
+	c.termCtx, c.cancelTerm = context.WithCancel(context.Background())
+	c.writer = newRecordWriter(c.termCtx, c.options.Log, c.options.Logger)
+	c.writer.onAppend = newProgressTrimmer(c.termCtx, c.options.Log, c.options.Logger).noteAppend
 	now := clock.Now()
-	c.tickedAt = now
+	c.lastTickAt = now
 	c.machine.HandleTable(now, c.table)
-	for model, version := range c.newest {
+	for model, version := range c.newestVersions {
 		c.machine.HandleVersion(now, model, version)
 	}
 	c.machine.HandleSuspicions(now, c.options.Quarantine.Suspicions())
 	c.handleServers(now, c.machine)
 	c.options.Logger.Info("term begun", zap.Int64("epoch", c.termEpoch))
-	term, machine, lease := c.term, c.machine, standing.Lease
-	c.background.Go(func() { c.follow(term, machine, lease) })
+	termCtx, machine, lease := c.termCtx, c.machine, standing.Lease
+	c.background.Go(func() { c.takeOverAndFollow(termCtx, machine, lease) })
 }
 
-// follow takes over what predecessors left and subscribes to the jobs for the term, partition
-// by partition: one that the store does not take anything for holds no other up.
-func (c *Coordinator) follow(term context.Context, machine *scheduler.Machine, lease election.Lease) {
+// takeOverAndFollow takes over from the predecessors and subscribes to the jobs for the term. Each
+// partition is handled on its own, so that one to which appends fail does not delay the others.
+func (c *Coordinator) takeOverAndFollow(termCtx context.Context, machine *scheduler.Machine, lease election.Lease) {
 	began := clock.Now()
 	var partitions conc.WaitGroup
-	// The jobs are read meanwhile.
+	// The partitions are read during the takeover.
 	for number := range c.options.Jobs.Partitions() {
-		partitions.Go(func() { c.options.Jobs.Follow(term, number) })
+		partitions.Go(func() { c.options.Jobs.Follow(termCtx, number) })
 	}
 	partitions.Wait()
-	left := c.takeOver(term, lease.Yielded)
+	handover := c.takeOver(termCtx, lease.Yielded)
 	var items atomic.Int64
-	if left.Whole {
-		// All of it comes first, since an item's text may stand in the partition of an earlier job.
-		for number, partials := range c.foldHandedOver(left) {
+	if handover.Whole {
+		// All partitions come first, since an item's text may be in the partition of an earlier job.
+		for number, partials := range c.foldHandover(handover) {
 			items.Add(c.handleRecovered(machine, number, partials))
 		}
 	}
-	subscriber := &follower{coordinator: c, machine: machine}
+	subscriber := &termSubscriber{coordinator: c, machine: machine}
 	for number := range c.options.Jobs.Partitions() {
 		partitions.Go(func() {
-			c.appendLeft(term, left, number)
-			if !left.Whole {
-				items.Add(c.handleRecovered(machine, number, c.recoverProgress(term, number)))
+			c.appendHandover(termCtx, handover, number)
+			if !handover.Whole {
+				items.Add(c.handleRecovered(machine, number, c.recoverProgress(termCtx, number)))
 			}
-			c.options.Jobs.Subscribe(term, number, subscriber)
+			c.options.Jobs.Subscribe(termCtx, number, subscriber)
 			c.options.Logger.Info("jobs followed", zap.Int("partition", number), zap.Int64("epoch", lease.Epoch),
-				zap.Bool("term_over", term.Err() != nil))
+				zap.Bool("term_over", termCtx.Err() != nil))
 		})
 	}
 	partitions.Wait()
 	c.options.Logger.Info("progress recovered", zap.Int64("epoch", lease.Epoch), zap.Int64("items", items.Load()),
-		zap.Bool("handed_over", left.Whole), zap.Duration("took", clock.Since(began)))
+		zap.Bool("handed_over", handover.Whole), zap.Duration("took", clock.Since(began)))
 }
 
-// handleRecovered gives the scheduler of a term what is saved for the jobs of a partition, by
-// item, and returns the number of items.
+// handleRecovered passes the saved progress of a partition, by item, to the scheduler of a term
+// and returns the number of items.
 func (c *Coordinator) handleRecovered(machine *scheduler.Machine, number int, partials map[string]*batch.Partial) int64 {
-	c.inputOf(machine, func(now time.Time) { machine.HandleRecovered(now, number, partials) })
+	c.withTermScheduler(machine, func(now time.Time) { machine.HandleRecovered(now, number, partials) })
 	return int64(len(partials))
 }
 
 func (c *Coordinator) endTermLocked() {
 	c.machine = nil
-	c.resigned, c.unasked = false, false
-	c.endTerm()
+	c.resigned, c.successorWontAsk = false, false
+	c.cancelTerm()
 	c.options.Logger.Info("term ended", zap.Int64("epoch", c.termEpoch))
 }
--- a/internal/coordinator/follower.go
+++ b/internal/coordinator/term_subscriber.go
@@ -11,15 +11,15 @@
 	"dalehook/internal/store"
 )
 
-// follower takes the changes of the jobs for one term.
-type follower struct {
+// termSubscriber passes job changes to the scheduler of one term.
+type termSubscriber struct {
 	coordinator *Coordinator
 	machine     *scheduler.Machine
 }
 
 // HandleChange implements joblog.Subscriber.
-func (f *follower) HandleChange(partition int, change batch.Change) {
-	f.coordinator.inputOf(f.machine, func(now time.Time) {
+func (f *termSubscriber) HandleChange(partition int, change batch.Change) {
+	f.coordinator.withTermScheduler(f.machine, func(now time.Time) {
 		if change.Accepted != nil && !f.coordinator.options.Jobs.Indexed(change.Accepted.Job.ID) {
 			f.coordinator.indexJob(partition, change.Accepted)
 		}
@@ -38,18 +38,18 @@
 }
 
 // HandleOpenFrom implements joblog.Subscriber.
-func (f *follower) HandleOpenFrom(partition int, openFrom int64) {
-	f.coordinator.inputOf(f.machine, func(time.Time) {
+func (f *termSubscriber) HandleOpenFrom(partition int, openFrom int64) {
+	f.coordinator.withTermScheduler(f.machine, func(time.Time) {
 		f.coordinator.appendIndexEntry(partition, joblog.IndexEntry{OpenFrom: openFrom})
 	})
 }
 
 // HandleFresh implements joblog.Subscriber.
-func (f *follower) HandleFresh(partition int, since time.Time) {
-	f.coordinator.inputOf(f.machine, func(now time.Time) { f.machine.HandleFresh(now, partition, since) })
+func (f *termSubscriber) HandleFresh(partition int, since time.Time) {
+	f.coordinator.withTermScheduler(f.machine, func(now time.Time) { f.machine.HandleFresh(now, partition, since) })
 }
 
-// indexJob tells readers where a job begins. The mutex is held.
+// indexJob appends the index entry that tells readers where a job begins. The caller holds the mutex.
 func (c *Coordinator) indexJob(partition int, accepted *batch.State) {
 	c.appendIndexEntry(partition, joblog.IndexEntry{JobID: accepted.Job.ID, Start: accepted.Start})
 }
--- a/internal/coordinator/writer.go
+++ b/internal/coordinator/writer.go
@@ -18,45 +18,44 @@
 const (
 	// appendTimeout bounds one append.
 	appendTimeout = time.Second
-	// appendPause is the time between a failed append and the next.
+	// appendPause is the delay before a failed append is retried.
 	appendPause = 150 * time.Millisecond
-	// appendSize is the size in bytes that the groups of an append have together at the most. It
-	// is half of what the store takes; a larger group is appended alone.
-	appendSize = 1 << 20
-	// progressLimit is the size in bytes of waiting progress beyond which more of
-	// it is dropped: results matter, progress only helps.
-	progressLimit = 2 << 20
+	// maxAppendBytes is the maximum total size of the groups of an append, half of the store's
+	// limit. A larger group is appended alone.
+	maxAppendBytes = 1 << 20
+	// maxQueuedProgressBytes is the queue size above which further progress is dropped. Results
+	// must not be lost; progress only saves repeated work.
+	maxQueuedProgressBytes = 2 << 20
 )
 
-// recordWriter appends records in order, those of one partition in one call at a
-// time. Records whose append got no answer are appended again; the folds take the
-// second copy for void.
+// recordWriter appends records in order, with one append at a time per partition. Records
+// whose append got no answer are appended again; the folds ignore the second copy.
 type recordWriter struct {
-	log    store.Log
-	logger *zap.Logger
-	term   context.Context
-	// appended is told of each append, when it is set.
-	appended func(at store.Partition, offset int64)
+	log     store.Log
+	logger  *zap.Logger
+	termCtx context.Context
+	// onAppend is called after each append if it is set.
+	onAppend func(at store.Partition, offset int64)
 
 	mutex  sync.Mutex
 	queues map[store.Partition]*recordQueue
 }
 
-// recordQueue is what waits for one partition.
+// recordQueue is the queue of one partition.
 type recordQueue struct {
-	// groups are appended whole, each in one call.
+	// groups are the queued groups; a group is never split across appends.
 	groups [][][]byte
 	size   int
 	active bool
-	// underWay holds the groups of the append that was begun last, until it has ended.
-	underWay [][][]byte
+	// inFlight holds the groups of the current append.
+	inFlight [][][]byte
 }
 
-func newRecordWriter(term context.Context, log store.Log, logger *zap.Logger) *recordWriter {
-	return &recordWriter{log: log, logger: logger, term: term, queues: make(map[store.Partition]*recordQueue)}
+func newRecordWriter(termCtx context.Context, log store.Log, logger *zap.Logger) *recordWriter {
+	return &recordWriter{log: log, logger: logger, termCtx: termCtx, queues: make(map[store.Partition]*recordQueue)}
 }
 
-// add appends the records of a group, while the term lasts.
+// add queues a group of records, which is appended while the term lasts.
 func (w *recordWriter) add(at store.Partition, group [][]byte) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -65,18 +64,18 @@
 		queue = &recordQueue{}
 		w.queues[at] = queue
 	}
-	if at.Topic == store.TopicProgress && queue.size > progressLimit {
+	if at.Topic == store.TopicProgress && queue.size > maxQueuedProgressBytes {
 		return
 	}
 	queue.groups = append(queue.groups, group)
-	queue.size += sizeOf(group)
+	queue.size += sizeInBytes(group)
 	if !queue.active {
 		queue.active = true
 		go w.write(at, queue)
 	}
 }
 
-func sizeOf(group [][]byte) int {
+func sizeInBytes(group [][]byte) int {
 	size := 0
 	for _, record := range group {
 		size += len(record)
@@ -84,18 +83,18 @@
 	return size
 }
 
-// write appends what waits in a queue until nothing does or the term ends.
+// write appends queued groups until the queue is empty or the term ends.
 func (w *recordWriter) write(at store.Partition, queue *recordQueue) {
 	for {
-		groups := w.next(queue)
+		groups := w.nextGroups(queue)
 		if len(groups) == 0 || !w.appendInTerm(at, groups) {
 			return
 		}
 	}
 }
 
-// appendInTerm appends groups. It says whether nothing of them is left to append; something is
-// once the term has ended.
+// appendInTerm appends groups, retrying until the term ends. It reports whether all of them were
+// processed, which fails only if the term has ended.
 func (w *recordWriter) appendInTerm(at store.Partition, groups [][][]byte) bool {
 	for {
 		err := w.append(at, slices.Concat(groups...))
@@ -103,19 +102,19 @@
 		case err == nil:
 			return true
 		case errors.Is(err, store.ErrInvalid):
-			return w.appendApart(at, groups)
+			return w.appendSeparately(at, groups)
 		}
-		if !pause.For(w.term, appendPause) {
+		if !pause.For(w.termCtx, appendPause) {
 			return false
 		}
 	}
 }
 
-// appendApart is appendInTerm for groups that the store refuses for good together. A single one
-// is given up, so that those behind it are appended.
-func (w *recordWriter) appendApart(at store.Partition, groups [][][]byte) bool {
+// appendSeparately appends groups one by one after the store permanently rejected them together. A
+// single group that is rejected is dropped, so that the groups behind it are appended.
+func (w *recordWriter) appendSeparately(at store.Partition, groups [][][]byte) bool {
 	if len(groups) == 1 {
-		w.giveUp(at, groups[0])
+		w.handleRejected(at, groups[0])
 		return true
 	}
 	for _, group := range groups {
@@ -126,45 +125,45 @@
 	return true
 }
 
-// giveUp takes a group that the store refuses for good. An item whose result it is gets listed as dead, so that
-// nobody waits for its text.
-func (w *recordWriter) giveUp(at store.Partition, group [][]byte) {
-	w.logger.Error("records lost", zap.Stringer("partition", at), zap.Int("records", len(group)), zap.Int("bytes", sizeOf(group)))
+// handleRejected drops a group that the store permanently rejects. If the group is an item's result, the item
+// is listed as dead, so that no reader waits for its text.
+func (w *recordWriter) handleRejected(at store.Partition, group [][]byte) {
+	w.logger.Error("records lost", zap.Stringer("partition", at), zap.Int("records", len(group)), zap.Int("bytes", sizeInBytes(group)))
 	if at.Topic != store.TopicJobs {
 		return
 	}
 	result, err := batch.DecodeResult(group)
 	if err != nil || result.Outcome == batch.OutcomeDead {
-		w.logger.Error("no result to list in their place", zap.Stringer("partition", at), zap.Error(err))
+		w.logger.Error("lost records have no item to list as dead", zap.Stringer("partition", at), zap.Error(err))
 		return
 	}
 	dead, err := batch.EncodeResult(&batch.Result{JobID: result.JobID, ItemID: result.ItemID, Outcome: batch.OutcomeDead})
 	if err != nil {
-		w.logger.Error("result lost", zap.String("item", result.ItemID), zap.Error(err))
+		w.logger.Error("result not encoded", zap.String("item", result.ItemID), zap.Error(err))
 		return
 	}
-	w.logger.Info("item listed as dead, its result was refused", zap.String("job", result.JobID), zap.String("item", result.ItemID))
+	w.logger.Info("item listed as dead because its result was rejected", zap.String("job", result.JobID), zap.String("item", result.ItemID))
 	w.add(at, dead)
 }
 
-// next takes the groups of the next append.
-func (w *recordWriter) next(queue *recordQueue) [][][]byte {
+// nextGroups removes the groups of the next append from a queue.
+func (w *recordWriter) nextGroups(queue *recordQueue) [][][]byte {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	count, size := firstCall(queue.groups)
+	count, size := fitAppend(queue.groups)
 	groups := queue.groups[:count]
 	queue.groups = queue.groups[count:]
 	queue.size -= size
 	queue.active = count > 0
-	queue.underWay = groups
+	queue.inFlight = groups
 	return groups
 }
 
-// firstCall returns the number of groups that the next append takes, and their size in bytes.
-func firstCall(groups [][][]byte) (count, size int) {
+// fitAppend returns the number of groups that fit into one append, at least one, and their size in bytes.
+func fitAppend(groups [][][]byte) (count, size int) {
 	for _, group := range groups {
-		if more := sizeOf(group); count == 0 || size+more <= appendSize {
-			count, size = count+1, size+more
+		if groupBytes := sizeInBytes(group); count == 0 || size+groupBytes <= maxAppendBytes {
+			count, size = count+1, size+groupBytes
 			continue
 		}
 		break
@@ -172,33 +171,33 @@
 	return count, size
 }
 
-// dropProgress forgets the progress that waits, since checkpoints follow.
+// dropProgress discards queued progress, which full checkpoints will replace.
 func (w *recordWriter) dropProgress() {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	for at, queue := range w.queues {
 		if at.Topic == store.TopicProgress {
-			queue.groups, queue.underWay, queue.size = nil, nil, 0
+			queue.groups, queue.inFlight, queue.size = nil, nil, 0
 		}
 	}
 }
 
-// pending returns the records that are not known to be appended, in parts of one append each.
+// pending returns the records that are not confirmed as appended, in parts of one append each.
 func (w *recordWriter) pending() []liveness.Pending {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	var pending []liveness.Pending
 	for at, queue := range w.queues {
-		pending = append(pending, inCalls(at, slices.Concat(queue.underWay, queue.groups))...)
+		pending = append(pending, splitAppends(at, slices.Concat(queue.inFlight, queue.groups))...)
 	}
 	return pending
 }
 
-// inCalls returns the groups for a partition in parts of one append each, in order.
-func inCalls(at store.Partition, groups [][][]byte) []liveness.Pending {
+// splitAppends splits the groups for a partition into parts of one append each, in order.
+func splitAppends(at store.Partition, groups [][][]byte) []liveness.Pending {
 	var parts []liveness.Pending
 	for len(groups) > 0 {
-		count, _ := firstCall(groups)
+		count, _ := fitAppend(groups)
 		parts = append(parts, liveness.Pending{Partition: at, Records: slices.Concat(groups[:count]...)})
 		groups = groups[count:]
 	}
@@ -206,15 +205,15 @@
 }
 
 func (w *recordWriter) append(at store.Partition, records [][]byte) error {
-	ctx, cancel := context.WithTimeout(w.term, appendTimeout)
+	ctx, cancel := context.WithTimeout(w.termCtx, appendTimeout)
 	defer cancel()
 	offset, err := w.log.Append(ctx, at, records)
 	if err != nil {
 		w.logger.Warn("records not appended", zap.Stringer("partition", at), zap.Int("records", len(records)), zap.Error(err))
 		return err
 	}
-	if w.appended != nil {
-		w.appended(at, offset)
+	if w.onAppend != nil {
+		w.onAppend(at, offset)
 	}
 	return nil
 }
--- a/internal/coordinator/writer_test.go
+++ b/internal/coordinator/writer_test.go
@@ -35,14 +35,14 @@
 			return
 		}
 	}
-	t.Fatalf("never: %s", what)
+	t.Fatalf("timed out waiting for: %s", what)
 }
 
-func TestRecordsComeInOrderAndNoneIsLost(t *testing.T) {
+func TestRecordsAreAppendedInOrderWithoutLoss(t *testing.T) {
 	memory := storetest.NewMemory()
-	term, end := context.WithCancel(context.Background())
-	defer end()
-	writer := newRecordWriter(term, memory, zap.NewNop())
+	termCtx, cancel := context.WithCancel(context.Background())
+	defer cancel()
+	writer := newRecordWriter(termCtx, memory, zap.NewNop())
 	memory.SetFault(storetest.FaultRefuse)
 	for i := range 50 {
 		writer.add(jobs, [][]byte{fmt.Appendf(nil, "%d", i)})
@@ -56,13 +56,13 @@
 	}
 }
 
-func TestNothingIsWrittenAfterTheTerm(t *testing.T) {
+func TestNothingIsAppendedAfterTermEnds(t *testing.T) {
 	memory := storetest.NewMemory()
-	term, end := context.WithCancel(context.Background())
-	writer := newRecordWriter(term, memory, zap.NewNop())
+	termCtx, cancel := context.WithCancel(context.Background())
+	writer := newRecordWriter(termCtx, memory, zap.NewNop())
 	memory.SetFault(storetest.FaultRefuse)
 	writer.add(jobs, [][]byte{[]byte("late")})
-	end()
+	cancel()
 	memory.SetFault(storetest.FaultNone)
 	time.Sleep(2 * appendPause)
 	if got := records(t, memory, jobs); len(got) != 0 {
@@ -70,7 +70,7 @@
 	}
 }
 
-func TestRecoveredProgressIsWhatWasSaved(t *testing.T) {
+func TestProgressIsRecoveredAsSaved(t *testing.T) {
 	memory := storetest.NewMemory()
 	at := store.Partition{Topic: store.TopicProgress, Number: 2}
 	for _, progress := range []batch.Progress{
@@ -96,12 +96,12 @@
 	}
 	partials = successor.recoverProgress(context.Background(), at.Number)
 	if got := partials["i"]; got != nil {
-		t.Errorf("recovered %+v from a run whose start is gone", got)
+		t.Errorf("recovered %+v from a run whose first record was trimmed", got)
 	}
 }
 
-func TestProgressIsTrimmedOnceItIsOld(t *testing.T) {
-	trim := newTrimmer(context.Background(), storetest.NewMemory(), zap.NewNop())
+func TestOldProgressIsTrimmed(t *testing.T) {
+	trimmer := newProgressTrimmer(context.Background(), storetest.NewMemory(), zap.NewNop())
 	now := time.Unix(1000, 0)
 	at := store.Partition{Topic: store.TopicProgress}
 	written := make(map[int64]time.Time)
@@ -109,13 +109,13 @@
 	for offset := range int64(600) {
 		now = now.Add(100 * time.Millisecond)
 		written[offset] = now
-		before, due := trim.note(now, at, offset)
+		before, due := trimmer.advance(now, at, offset)
 		if !due || before == 0 {
 			continue
 		}
 		trims++
-		if age := now.Sub(written[before]); age < progressKept {
-			t.Fatalf("what is %v old was trimmed", age)
+		if age := now.Sub(written[before]); age < progressRetention {
+			t.Fatalf("trimmed progress that is only %v old", age)
 		}
 	}
 	if trims == 0 {
--- a/internal/frontend/leading.go
+++ b/internal/frontend/leading.go
@@ -66,7 +66,7 @@
 }
 
 // HandOver implements liveness.Holder.
-func (n *Node) HandOver(epoch int64) liveness.HandedOver { return n.coordinator.HandOver(epoch) }
+func (n *Node) HandOver(epoch int64) liveness.Handover { return n.coordinator.HandOver(epoch) }
 
 // askHolder asks at the node of a holder of the lease whether its process runs.
 func (n *Node) askHolder(ctx context.Context, address, holder string, epoch int64) liveness.Verdict {
--- a/internal/liveness/liveness.go
+++ b/internal/liveness/liveness.go
@@ -52,7 +52,7 @@
 	Yield(epoch int64) bool
 	// HandOver ends what the process does under an epoch that it gave up, and returns what
 	// its successor needs.
-	HandOver(epoch int64) HandedOver
+	HandOver(epoch int64) Handover
 	// NoteAsked is told where a node answers that asked, and so reaches the store.
 	NoteAsked(address string)
 }
@@ -72,8 +72,8 @@
 	Yielded bool
 }
 
-// HandedOver is what a process leaves to its successor.
-type HandedOver struct {
+// Handover is the state that a process leaves to its successor.
+type Handover struct {
 	// Pending are the records that it has not appended.
 	Pending []Pending
 	// Whole says that they hold all the progress of items that the store holds, too.
@@ -109,7 +109,7 @@
 }
 
 // HandOver gives what a successor needs of a process that gave up the lease.
-func (s *service) HandOver(question Question, answer *HandedOver) error {
+func (s *service) HandOver(question Question, answer *Handover) error {
 	*answer = s.holder.HandOver(question.Epoch)
 	return nil
 }
@@ -133,8 +133,8 @@
 }
 
 // TakeOver returns what a process leaves that gave up the lease of an epoch.
-func TakeOver(ctx context.Context, address string, epoch int64) (HandedOver, error) {
-	var said HandedOver
+func TakeOver(ctx context.Context, address string, epoch int64) (Handover, error) {
+	var said Handover
 	err := nodecall.Call(ctx, address, methodHandOver, Question{Epoch: epoch}, &said)
 	return said, err
 }
--- a/internal/liveness/liveness_test.go
+++ b/internal/liveness/liveness_test.go
@@ -29,11 +29,11 @@
 
 func (h *holder) NoteAsked(address string) { h.askedFrom = address }
 
-func (h *holder) HandOver(epoch int64) HandedOver {
+func (h *holder) HandOver(epoch int64) Handover {
 	if epoch != 7 {
-		return HandedOver{}
+		return Handover{}
 	}
-	return HandedOver{Whole: true, Pending: []Pending{
+	return Handover{Whole: true, Pending: []Pending{
 		{Partition: store.Partition{Topic: store.TopicJobs, Number: 3}, Records: [][]byte{[]byte("a"), []byte("b")}},
 	}}
 }
--- a/internal/liveness/wire_test.go
+++ b/internal/liveness/wire_test.go
@@ -12,7 +12,7 @@
 			"From": "empty from builds that do not tell where they answer; they are not asked to read the store",
 		}},
 		{Name: "answer", Codec: wiretest.Gob, Value: Answer{}},
-		{Name: "handed-over", Codec: wiretest.Gob, Value: HandedOver{}, Added: map[string]string{
+		{Name: "handed-over", Codec: wiretest.Gob, Value: Handover{}, Added: map[string]string{
 			"Whole": "false from builds that hand over only what they had not appended; others read the store beside it",
 		}},
 	})
