--- a/internal/frontend/jobreads.go
+++ b/internal/frontend/jobreads.go
@@ -198,7 +198,7 @@
 	if address == "" {
 		return jobread.Results{}
 	}
-	question := jobread.ResultsQuestion{Job: job, From: from, MostBytes: passOnBytes}
+	question := jobread.ResultsRequest{Job: job, From: from, MostBytes: passOnBytes}
 	asked := clock.Now()
 	page := r.askResults(ctx, address, question)
 	if page.Verdict != jobread.Found || len(page.Results) > 0 || page.Ended || wait <= 0 {
@@ -212,9 +212,9 @@
 	return later // that there was nothing before the hold says too little by now
 }
 
-func (r *jobReader) askResults(ctx context.Context, address string, question jobread.ResultsQuestion) (page jobread.Results) {
+func (r *jobReader) askResults(ctx context.Context, address string, question jobread.ResultsRequest) (page jobread.Results) {
 	answered := r.ask(ctx, address, question.Job.ID, question.Wait+passOnPatience, func(ctx context.Context) (err error) {
-		page, err = jobread.AskResults(ctx, address, question)
+		page, err = jobread.RequestResults(ctx, address, question)
 		return err
 	})
 	if !answered || !r.understood(address, question.Job, page.Job, page.Verdict) {
@@ -226,7 +226,7 @@
 // understood says whether the coordinator at an address answered what it was asked. Where it did not, the
 // store is read.
 func (r *jobReader) understood(address string, asked, answered batch.Name, verdict jobread.Verdict) bool {
-	if jobread.Understood(asked, answered, verdict) {
+	if jobread.Conclusive(asked, answered, verdict) {
 		return true
 	}
 	r.observeMisread()
@@ -288,7 +288,7 @@
 }
 
 // FollowedResults implements jobread.Reader.
-func (r *jobReader) FollowedResults(question jobread.ResultsQuestion) (page jobread.Results) {
+func (r *jobReader) FollowedResults(question jobread.ResultsRequest) (page jobread.Results) {
 	if question.Wait > 0 {
 		waiting, cancel := context.WithTimeout(context.Background(), question.Wait)
 		r.jobs.WaitFor(waiting, question.Job.ID, question.From)
@@ -352,7 +352,7 @@
 		return jobread.Body{}
 	}
 	answered := r.ask(ctx, address, job.ID, passOnPatience, func(ctx context.Context) (err error) {
-		body, err = jobread.AskBody(ctx, address, jobread.BodyQuestion{Job: job, ItemID: itemID})
+		body, err = jobread.RequestBody(ctx, address, jobread.BodyRequest{Job: job, ItemID: itemID})
 		return err
 	})
 	if !answered || !r.understood(address, job, body.Job, body.Verdict) {
@@ -379,7 +379,7 @@
 }
 
 // FollowedBody implements jobread.Reader.
-func (r *jobReader) FollowedBody(question jobread.BodyQuestion) (body jobread.Body) {
+func (r *jobReader) FollowedBody(question jobread.BodyRequest) (body jobread.Body) {
 	err := r.viewFollowed(question.Job.ID, joblog.HasItem(question.ItemID), func(state *batch.State) {
 		body = bodyOf(state, question.Job, question.ItemID)
 	})
--- a/internal/frontend/jobreads_absent_test.go
+++ b/internal/frontend/jobreads_absent_test.go
@@ -103,7 +103,7 @@
 	for name, reader := range map[string]*readerNode{"coordinator": coordinator, "node": node, "without a coordinator": newReaderNode(t, memory)} {
 		t.Run(name, func(t *testing.T) { checkNotDenied(t, reader, "not indexed", "not indexed-0") })
 	}
-	if body := coordinator.FollowedBody(jobread.BodyQuestion{Job: batch.Name{ID: "not indexed"}, ItemID: "not indexed-0"}); body.Verdict != jobread.Found {
+	if body := coordinator.FollowedBody(jobread.BodyRequest{Job: batch.Name{ID: "not indexed"}, ItemID: "not indexed-0"}); body.Verdict != jobread.Found {
 		t.Errorf("the coordinator: %v", body.Verdict)
 	}
 }
@@ -114,7 +114,7 @@
 	stop <-chan struct{}
 }
 
-func (s silentAfter) FollowedResults(question jobread.ResultsQuestion) jobread.Results {
+func (s silentAfter) FollowedResults(question jobread.ResultsRequest) jobread.Results {
 	if question.Wait > 0 {
 		<-s.stop
 	}
--- a/internal/jobread/jobread.go
+++ b/internal/jobread/jobread.go
@@ -1,11 +1,11 @@
-// Package jobread passes reads of batch jobs on to the node that coordinates them. That node
-// follows the partitions of all open jobs, so a read there costs no more than what it returns.
-// Anywhere else the partition would be read from where the job begins, with other jobs'
+// Package jobread forwards reads of batch jobs to the coordinator. The coordinator
+// follows the partitions of all open jobs, so a read there costs only what it returns.
+// Any other node would read the partition from the start of the job, including other jobs'
 // records.
 //
-// The two nodes may be of different builds. A question names the job in each way that a build
-// understands, and an answer says which job was looked for: that a job is absent counts only where
-// it was this one.
+// The two nodes may run different builds. A request names the job in every form that a build
+// may expect, and an answer names the job that was looked up: a report that a job is absent
+// counts only if it names the requested job.
 package jobread
 
 import (
@@ -20,38 +20,38 @@
 	"dalehook/internal/nodecall"
 )
 
-// ResultsQuestion asks for results of a job.
-type ResultsQuestion struct {
+// ResultsRequest requests results of a job.
+type ResultsRequest struct {
 	Job batch.Name
-	// JobID is as LegacyID returns it; AskResults sets it.
+	// JobID is the job's LegacyID; RequestResults sets it.
 	JobID string
-	// From is the position of the first result wanted.
+	// From is the position of the first requested result.
 	From int
-	// Wait is how long the answer may be held until there is a result.
+	// Wait is how long the answer may be delayed until there is a result.
 	Wait time.Duration
-	// MostBytes bounds the texts of the answer, beyond the first result.
+	// MostBytes bounds the size of the answer's texts; the first result is always included.
 	MostBytes int
 }
 
-// Verdict says what an answer is worth.
+// Verdict is the kind of an answer.
 type Verdict int
 
 // The verdicts.
 const (
-	// NotFollowed: the node does not read the job's partition, or not from where the job
-	// begins, and says nothing of the job.
+	// NotFollowed: the node does not read the job's partition, or not from the start of the
+	// job, and can not answer.
 	NotFollowed Verdict = iota
-	// Behind: the node reads the partition, but has not come far enough in time.
+	// Behind: the node reads the partition but did not catch up in time.
 	Behind
 	// Absent: the partition holds no such job, or the job no such item.
 	Absent
-	// Found: the answer holds what was asked for.
+	// Found: the answer holds the requested data.
 	Found
 )
 
 var verdictNames = [...]string{"not followed", "behind", "absent", "found"}
 
-// String implements fmt.Stringer. Nodes of later builds may give verdicts that this one does not have.
+// String implements fmt.Stringer. Nodes of later builds may send verdicts that this build does not know.
 func (v Verdict) String() string {
 	if v < 0 || int(v) >= len(verdictNames) {
 		return fmt.Sprintf("verdict %d", int(v))
@@ -59,10 +59,10 @@
 	return verdictNames[v]
 }
 
-// Results are a job's results from a position on.
+// Results holds a job's results from a position.
 type Results struct {
 	Verdict Verdict
-	// Job is the job that the node looked for; empty in answers of nodes that do not tell.
+	// Job is the job that the node looked up; empty in answers from builds without this field.
 	Job batch.Name
 	// Total is the number of the job's items.
 	Total   int
@@ -70,25 +70,25 @@
 	Results []batch.Result
 }
 
-// BodyQuestion asks for the body of an item.
-type BodyQuestion struct {
+// BodyRequest requests the body of an item.
+type BodyRequest struct {
 	Job batch.Name
-	// JobID is as LegacyID returns it; AskBody sets it.
+	// JobID is the job's LegacyID; RequestBody sets it.
 	JobID  string
 	ItemID string
 }
 
-// Body is the body of an item that has no result yet. An item with a result, and one of a
-// job that was ended, is absent.
+// Body holds the body of an item that has no result yet. An item that has a result or whose
+// job has ended is absent.
 type Body struct {
 	Verdict Verdict
-	// Job is the job that the node looked for; empty in answers of nodes that do not tell.
+	// Job is the job that the node looked up; empty in answers from builds without this field.
 	Job   batch.Name
 	Bytes []byte
 }
 
-// LegacyID returns the name of a job for nodes that know no tenants and look for jobs by their ids
-// alone. It is empty for the jobs of a tenant, which such a node would give to everybody.
+// LegacyID returns the ID of a job for builds without tenants, which look up jobs by ID only. It is
+// empty for a tenant's job, which such a node would return to any caller.
 func LegacyID(job batch.Name) string {
 	if job.Tenant != "" {
 		return ""
@@ -96,20 +96,20 @@
 	return job.ID
 }
 
-// Understood says whether an answer with a verdict is one to a question about a job, where answered is
-// the job that the answer names. A node of a build that reads the question otherwise finds no job, and
-// that must not be taken for the word that there is none.
-func Understood(asked, answered batch.Name, verdict Verdict) bool {
-	return verdict != Absent || asked == answered
+// Conclusive reports whether an answer with a verdict is valid for the requested job, where answered is
+// the job that the answer names. A build that interprets the request differently finds no job, which
+// must not be taken as proof that the requested job is absent.
+func Conclusive(requested, answered batch.Name, verdict Verdict) bool {
+	return verdict != Absent || requested == answered
 }
 
-// Reader answers from what a node has read of the store.
+// Reader answers requests from the job state that a node follows.
 type Reader interface {
-	FollowedResults(question ResultsQuestion) Results
-	FollowedBody(question BodyQuestion) Body
+	FollowedResults(request ResultsRequest) Results
+	FollowedBody(request BodyRequest) Body
 }
 
-// The calls of the service.
+// Names of the RPC service and its methods.
 const (
 	serviceName   = "Jobs"
 	methodResults = serviceName + ".Results"
@@ -118,60 +118,60 @@
 
 type service struct{ reader Reader }
 
-// asked returns the job that a question is about, and whether it names the job as this build does. Nodes
-// that know no tenants name it by its id alone.
-func asked(job batch.Name, legacyID string) (name batch.Name, whole bool) {
+// requestedJob returns the job that a request names, and whether it is named in full. Builds without
+// tenants name it by ID only.
+func requestedJob(job batch.Name, legacyID string) (name batch.Name, fullName bool) {
 	if job.ID != "" {
 		return job, true
 	}
 	return batch.Name{ID: legacyID}, false
 }
 
-// verdictFor returns the verdict for a node that asked for a job, by its whole name or not. One that gives the id
-// alone may mean a job of a tenant, and believes that a job is absent: it is to read the store instead.
-func verdictFor(verdict Verdict, whole bool) Verdict {
-	if verdict == Absent && !whole {
+// verdictFor returns the verdict to send to a caller that named a job in full or by ID only. A caller that names
+// the ID only may mean a tenant's job and would accept Absent as final, so it must read the store instead.
+func verdictFor(verdict Verdict, fullName bool) Verdict {
+	if verdict == Absent && !fullName {
 		return NotFollowed
 	}
 	return verdict
 }
 
-// Register has a server answer from a reader.
+// Register registers the job read service on a server, with answers from a reader.
 func Register(server *rpc.Server, reader Reader) error {
-	return eris.Wrap(server.RegisterName(serviceName, &service{reader: reader}), "register the calls about jobs")
+	return eris.Wrap(server.RegisterName(serviceName, &service{reader: reader}), "register the job read service")
 }
 
-// Results answers a read of results.
-func (s *service) Results(question ResultsQuestion, answer *Results) error {
-	var whole bool
-	question.Job, whole = asked(question.Job, question.JobID)
-	*answer = s.reader.FollowedResults(question)
-	answer.Job, answer.Verdict = question.Job, verdictFor(answer.Verdict, whole)
+// Results answers a ResultsRequest.
+func (s *service) Results(request ResultsRequest, answer *Results) error {
+	var fullName bool
+	request.Job, fullName = requestedJob(request.Job, request.JobID)
+	*answer = s.reader.FollowedResults(request)
+	answer.Job, answer.Verdict = request.Job, verdictFor(answer.Verdict, fullName)
 	return nil
 }
 
-// Body answers a read of an item's body.
-func (s *service) Body(question BodyQuestion, answer *Body) error {
-	var whole bool
-	question.Job, whole = asked(question.Job, question.JobID)
-	*answer = s.reader.FollowedBody(question)
-	answer.Job, answer.Verdict = question.Job, verdictFor(answer.Verdict, whole)
+// Body answers a BodyRequest.
+func (s *service) Body(request BodyRequest, answer *Body) error {
+	var fullName bool
+	request.Job, fullName = requestedJob(request.Job, request.JobID)
+	*answer = s.reader.FollowedBody(request)
+	answer.Job, answer.Verdict = request.Job, verdictFor(answer.Verdict, fullName)
 	return nil
 }
 
-// AskResults asks the node at an address for results. The answer counts only if it is Understood.
-func AskResults(ctx context.Context, address string, question ResultsQuestion) (Results, error) {
-	question.JobID = LegacyID(question.Job)
+// RequestResults requests results from the node at an address. The answer counts only if it is Conclusive.
+func RequestResults(ctx context.Context, address string, request ResultsRequest) (Results, error) {
+	request.JobID = LegacyID(request.Job)
 	var answer Results
-	err := nodecall.Call(ctx, address, methodResults, question, &answer)
+	err := nodecall.Call(ctx, address, methodResults, request, &answer)
 	return answer, err
 }
 
-// AskBody asks the node at an address for the body of an item. The answer counts only if it is
-// Understood.
-func AskBody(ctx context.Context, address string, question BodyQuestion) (Body, error) {
-	question.JobID = LegacyID(question.Job)
+// RequestBody requests the body of an item from the node at an address. The answer counts only if it is
+// Conclusive.
+func RequestBody(ctx context.Context, address string, request BodyRequest) (Body, error) {
+	request.JobID = LegacyID(request.Job)
 	var answer Body
-	err := nodecall.Call(ctx, address, methodBody, question, &answer)
+	err := nodecall.Call(ctx, address, methodBody, request, &answer)
 	return answer, err
 }
--- a/internal/jobread/jobread_test.go
+++ b/internal/jobread/jobread_test.go
@@ -11,31 +11,31 @@
 	"dalehook/internal/nodecall/nodecalltest"
 )
 
-// reader answers with what it was asked for.
-type reader struct{}
+// echoReader returns values from the request.
+type echoReader struct{}
 
-func (reader) FollowedResults(question ResultsQuestion) Results {
+func (echoReader) FollowedResults(request ResultsRequest) Results {
 	return Results{
-		Verdict: Found, Total: question.From, Ended: true,
-		Results: []batch.Result{{JobID: question.Job.ID, ItemID: "item", Outcome: batch.OutcomeDead, Text: "text", Versions: []int64{1, 2}, Score: "score"}},
+		Verdict: Found, Total: request.From, Ended: true,
+		Results: []batch.Result{{JobID: request.Job.ID, ItemID: "item", Outcome: batch.OutcomeDead, Text: "text", Versions: []int64{1, 2}, Score: "score"}},
 	}
 }
 
-func (reader) FollowedBody(question BodyQuestion) Body {
-	return Body{Verdict: Absent, Bytes: []byte(question.Job.ID + question.ItemID)}
+func (echoReader) FollowedBody(request BodyRequest) Body {
+	return Body{Verdict: Absent, Bytes: []byte(request.Job.ID + request.ItemID)}
 }
 
-// What a node answers arrives whole at the node that asks, with the job that it looked for.
-func TestAnswersArriveWhole(t *testing.T) {
-	address := nodecalltest.Serve(t, func(server *rpc.Server) error { return Register(server, reader{}) })
-	asked := ResultsQuestion{Job: batch.Name{ID: "job"}, From: 7}
-	results, err := AskResults(context.Background(), address, asked)
-	want := reader{}.FollowedResults(asked)
-	want.Job = asked.Job
+// Answers are transferred without loss and name the job that was looked up.
+func TestAnswersArriveComplete(t *testing.T) {
+	address := nodecalltest.Serve(t, func(server *rpc.Server) error { return Register(server, echoReader{}) })
+	request := ResultsRequest{Job: batch.Name{ID: "job"}, From: 7}
+	results, err := RequestResults(context.Background(), address, request)
+	want := echoReader{}.FollowedResults(request)
+	want.Job = request.Job
 	if diff := cmp.Diff(want, results); err != nil || diff != "" {
 		t.Errorf("results: %v, %s", err, diff)
 	}
-	body, err := AskBody(context.Background(), address, BodyQuestion{Job: batch.Name{ID: "job"}, ItemID: "item"})
+	body, err := RequestBody(context.Background(), address, BodyRequest{Job: batch.Name{ID: "job"}, ItemID: "item"})
 	if diff := cmp.Diff(Body{Verdict: Absent, Job: batch.Name{ID: "job"}, Bytes: []byte("jobitem")}, body); err != nil || diff != "" {
 		t.Errorf("body: %v, %s", err, diff)
 	}
