--- a/internal/crashwatch/share.go
+++ b/internal/crashwatch/share.go
@@ -47,8 +47,8 @@
 // follow learns what other nodes found.
 func (t *Tracker) follow(ctx context.Context) {
 	follow.Keyed(ctx, follow.KeyedOptions{
-		Log: t.options.Log, Topic: store.TopicQuarantine, Pace: readPace, Wait: readWait, Large: true, Logger: t.options.Logger,
-		Replace: t.replace, Change: t.change, Read: func(int64, bool, time.Time) {}, Relayed: t.options.Relay.Read,
+		Log: t.options.Log, Topic: store.TopicQuarantine, MinInterval: readPace, Wait: readWait, LargeTopic: true, Logger: t.options.Logger,
+		Replace: t.replace, Change: t.change, OnRead: func(int64, bool, time.Time) {}, ReadRelayed: t.options.Relay.Read,
 	})
 }
 
--- a/internal/election/run.go
+++ b/internal/election/run.go
@@ -56,7 +56,7 @@
 	runner := runner{Options: options, machine: NewMachine(clock.Now(), options.Self, options.Address, options.Timing)}
 	runner.outage.Logger = options.Logger
 	runner.at = store.Partition{Topic: store.TopicLeases, Number: options.Number}
-	pace := follow.Pace{Most: slowestRead, Retry: retryPause}
+	pace := follow.Pacer{Max: slowestRead, Retry: retryPause}
 	for ctx.Err() == nil {
 		err := runner.step(ctx)
 		runner.outage.Note(err, zap.Stringer("partition", runner.at))
--- a/internal/fanout/guide.go
+++ b/internal/fanout/guide.go
@@ -153,8 +153,8 @@
 	return *g.report.News
 }
 
-// Await implements follow.Guide.
-func (g *Guide) Await(ctx context.Context, from int64) follow.Way {
+// Await implements follow.SourceSelector.
+func (g *Guide) Await(ctx context.Context, from int64) follow.Source {
 	for {
 		way, wait, changed := g.decide(clock.Now(), from)
 		if wait <= 0 {
@@ -164,7 +164,7 @@
 		select {
 		case <-ctx.Done():
 			timer.Stop()
-			return follow.WayStore
+			return follow.SourceStore
 		case <-changed:
 		case <-timer.C:
 		}
@@ -173,26 +173,26 @@
 }
 
 // decide returns the way to read, or how long there is nothing to read unless the report changes.
-func (g *Guide) decide(now time.Time, from int64) (way follow.Way, wait time.Duration, changed <-chan struct{}) {
+func (g *Guide) decide(now time.Time, from int64) (way follow.Source, wait time.Duration, changed <-chan struct{}) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	way, wait = g.decideLocked(now, from)
 	return way, wait, g.changed
 }
 
-func (g *Guide) decideLocked(now time.Time, from int64) (follow.Way, time.Duration) {
+func (g *Guide) decideLocked(now time.Time, from int64) (follow.Source, time.Duration) {
 	news := g.report.News
 	switch {
 	case g.report.Tells:
-		return follow.WayStoreBriefly, 0
+		return follow.SourceStoreShortWait, 0
 	case news == nil:
-		return follow.WayStore, 0
+		return follow.SourceStore, 0
 	case g.report.ReadSince.IsZero():
 		return g.decideLost(now), 0
 	}
 	untilAlone := g.aloneAt().Sub(now)
 	if untilAlone <= 0 {
-		return follow.WayStore, 0
+		return follow.SourceStore, 0
 	}
 	g.alone, g.failedAt = false, time.Time{}
 	if from >= news.Next {
@@ -200,7 +200,7 @@
 		return 0, max(untilAlone, shortestWait)
 	}
 	if from >= news.Large {
-		return follow.WayStoreNow, 0
+		return follow.SourceStoreNoWait, 0
 	}
 	if news.From == "" {
 		return 0, max(untilAlone, shortestWait) // it is thought to have ended: its successor tells
@@ -218,44 +218,44 @@
 }
 
 // decideLost is decide where the store does not answer whether the coordinator tells anything.
-func (g *Guide) decideLost(now time.Time) follow.Way {
+func (g *Guide) decideLost(now time.Time) follow.Source {
 	if now.Sub(g.report.ReadAt) < lostFor+g.shareOf(lostSpread) {
-		return follow.WayOthers
+		return follow.SourceRelay
 	}
 	switch {
 	case g.alone:
-		return follow.WayStore
+		return follow.SourceStore
 	case !g.failedAt.IsZero() && now.Sub(g.failedAt) < aloneRetry:
-		return follow.WayOthers
+		return follow.SourceRelay
 	}
-	return follow.WayStoreTry
+	return follow.SourceStoreProbe
 }
 
 // decideLarge is decide where a large change is to be had.
-func (g *Guide) decideLarge(now time.Time) (follow.Way, time.Duration) {
+func (g *Guide) decideLarge(now time.Time) (follow.Source, time.Duration) {
 	if g.fetching != g.report.News.Large {
 		g.fetching, g.fetches, g.fetchAt = g.report.News.Large, 0, now
 	}
 	if g.fetches < fetchTries {
-		return follow.WayFetch, g.fetchAt.Add(g.shareOf(askSpread)).Sub(now)
+		return follow.SourcePeers, g.fetchAt.Add(g.shareOf(askSpread)).Sub(now)
 	}
-	return follow.WayStoreNow, g.fetchAt.Add(g.shareOf(fallbackSpread)).Sub(now)
+	return follow.SourceStoreNoWait, g.fetchAt.Add(g.shareOf(fallbackSpread)).Sub(now)
 }
 
 func (g *Guide) shareOf(spread time.Duration) time.Duration {
 	return time.Duration(g.options.Share * float64(spread))
 }
 
-// Note implements follow.Guide.
-func (g *Guide) Note(way follow.Way, err error) {
+// Note implements follow.SourceSelector.
+func (g *Guide) Note(way follow.Source, err error) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	now := clock.Now()
 	switch {
-	case way == follow.WayFetch && err != nil:
+	case way == follow.SourcePeers && err != nil:
 		g.fetches++
 		g.fetchAt = now
-	case way == follow.WayFetch:
+	case way == follow.SourcePeers:
 	case err == nil:
 		g.alone, g.failedAt = g.report.ReadSince.IsZero(), time.Time{}
 	default:
--- a/internal/fanout/guide_test.go
+++ b/internal/fanout/guide_test.go
@@ -22,25 +22,25 @@
 		report Report
 		from   int64
 		share  float64
-		way    follow.Way
+		way    follow.Source
 		waits  bool
 	}{
-		{"nobody tells", Report{ReadAt: now, ReadSince: ago(time.Hour)}, 5, 0, follow.WayStore, false},
-		{"this node tells", Report{Tells: true}, 5, 0, follow.WayStoreBriefly, false},
+		{"nobody tells", Report{ReadAt: now, ReadSince: ago(time.Hour)}, 5, 0, follow.SourceStore, false},
+		{"this node tells", Report{Tells: true}, 5, 0, follow.SourceStoreShortWait, false},
 		{"all is known", inContact(news(5, 2, 0)), 5, 0, 0, true},
 		{"more is known than the coordinator tells", inContact(news(5, 2, 0)), 7, 0, 0, true},
-		{"something small is new", inContact(news(6, 2, 0)), 5, 0, follow.WayStoreNow, false},
-		{"something large is new", inContact(news(6, 6, 0)), 5, 0, follow.WayFetch, false},
+		{"something small is new", inContact(news(6, 2, 0)), 5, 0, follow.SourceStoreNoWait, false},
+		{"something large is new", inContact(news(6, 6, 0)), 5, 0, follow.SourcePeers, false},
 		{"something large is new, and the coordinator is thought to have ended", inContact(&News{Next: 6, Large: 6, HeardAt: now}), 5, 0, 0, true},
-		{"nothing is known", inContact(news(6, 0, 0)), -1, 0, follow.WayFetch, false},
+		{"nothing is known", inContact(news(6, 0, 0)), -1, 0, follow.SourcePeers, false},
 		{"the coordinator has just fallen silent", inContact(news(5, 2, silentFor-1)), 5, 0, 0, true},
-		{"it is silent for long, a node that is early", inContact(news(5, 2, silentFor)), 5, 0, follow.WayStore, false},
+		{"it is silent for long, a node that is early", inContact(news(5, 2, silentFor)), 5, 0, follow.SourceStore, false},
 		{"it is silent for long, a node that is late", inContact(news(5, 2, silentFor)), 5, 0.9, 0, true},
-		{"it is silent for longer, a node that is late", inContact(news(5, 2, silentFor+silentSpread)), 5, 0.9, follow.WayStore, false},
+		{"it is silent for longer, a node that is late", inContact(news(5, 2, silentFor+silentSpread)), 5, 0.9, follow.SourceStore, false},
 		{"the store answers again, and the coordinator could not tell", Report{News: news(5, 2, time.Minute), ReadAt: now, ReadSince: ago(time.Second)}, 5, 0, 0, true},
-		{"the store has just fallen silent", Report{News: news(5, 2, time.Second), ReadAt: ago(time.Second)}, 5, 0, follow.WayOthers, false},
-		{"it is silent for long, a node that is early", Report{News: news(5, 2, time.Second), ReadAt: ago(lostFor)}, 5, 0, follow.WayStoreTry, false},
-		{"it is silent for long, a node that is late", Report{News: news(5, 2, time.Second), ReadAt: ago(lostFor)}, 5, 0.9, follow.WayOthers, false},
+		{"the store has just fallen silent", Report{News: news(5, 2, time.Second), ReadAt: ago(time.Second)}, 5, 0, follow.SourceRelay, false},
+		{"it is silent for long, a node that is early", Report{News: news(5, 2, time.Second), ReadAt: ago(lostFor)}, 5, 0, follow.SourceStoreProbe, false},
+		{"it is silent for long, a node that is late", Report{News: news(5, 2, time.Second), ReadAt: ago(lostFor)}, 5, 0.9, follow.SourceRelay, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -86,13 +86,13 @@
 	for try := range fetchTries {
 		// What is small and comes meanwhile begins nothing anew.
 		g.Observe(Report{News: &News{Next: 6 + int64(try), Large: 6, HeardAt: now, At: now, From: "a"}, ReadAt: now, ReadSince: now})
-		if way, _, _ := g.decide(clock.Now(), 5); way != follow.WayFetch {
+		if way, _, _ := g.decide(clock.Now(), 5); way != follow.SourcePeers {
 			t.Errorf("way %d", way)
 		}
-		g.Note(follow.WayFetch, errors.New("nobody"))
+		g.Note(follow.SourcePeers, errors.New("nobody"))
 	}
 	way, wait, _ := g.decide(clock.Now(), 5)
-	if way != follow.WayStoreNow || wait <= 0 || wait > fallbackSpread/2 {
+	if way != follow.SourceStoreNoWait || wait <= 0 || wait > fallbackSpread/2 {
 		t.Errorf("way %d after %v", way, wait)
 	}
 }
@@ -103,15 +103,15 @@
 	lost := Report{News: &News{Next: 5, HeardAt: clock.Now()}, ReadAt: clock.Now().Add(-lostFor)}
 	g := NewGuide(GuideOptions{})
 	g.Observe(lost)
-	g.Note(follow.WayStoreTry, errors.New("refused"))
-	if way, _, _ := g.decide(clock.Now(), 5); way != follow.WayOthers {
+	g.Note(follow.SourceStoreProbe, errors.New("refused"))
+	if way, _, _ := g.decide(clock.Now(), 5); way != follow.SourceRelay {
 		t.Errorf("after a failure: way %d", way)
 	}
-	if way, _, _ := g.decide(clock.Now().Add(aloneRetry), 5); way != follow.WayStoreTry {
+	if way, _, _ := g.decide(clock.Now().Add(aloneRetry), 5); way != follow.SourceStoreProbe {
 		t.Errorf("long after a failure: way %d", way)
 	}
-	g.Note(follow.WayStoreTry, nil)
-	if way, _, _ := g.decide(clock.Now(), 5); way != follow.WayStore {
+	g.Note(follow.SourceStoreProbe, nil)
+	if way, _, _ := g.decide(clock.Now(), 5); way != follow.SourceStore {
 		t.Errorf("after an answer: way %d", way)
 	}
 }
--- a/internal/follow/keyed.go
+++ b/internal/follow/keyed.go
@@ -1,4 +1,4 @@
-// Package follow reads partitions of the store as they grow.
+// Package follow reads partitions of the store as records are appended.
 package follow
 
 import (
@@ -13,159 +13,159 @@
 	"dalehook/internal/store"
 )
 
-// The timing of reads.
+// Timing of reads.
 const (
-	// answerTime bounds a read beyond its wait. A store that stays silent longer is
-	// asked again on another connection.
-	answerTime = 700 * time.Millisecond
-	// pageTime bounds the reading of a page of the newest records, of 1 MB at the most.
-	pageTime = 5 * time.Second
-	// slowestRead is the longest pause between two reads, which bounds the age of
-	// what is known while the store throttles reads.
-	slowestRead = 1200 * time.Millisecond
-	// relayPause is the shortest time between two reads by way of another node: hundreds of
-	// nodes may ask the same one.
-	relayPause = 900 * time.Millisecond
-	// retryPause is the time between a failed call and the next.
+	// answerTimeout bounds a read beyond its wait. If the store does not answer in time, the
+	// read is retried on another connection.
+	answerTimeout = 700 * time.Millisecond
+	// pageTimeout bounds the read of a page of the newest records, which is at most 1 MB.
+	pageTimeout = 5 * time.Second
+	// maxReadPause is the maximum pause between two reads, which bounds the staleness
+	// while the store throttles reads.
+	maxReadPause = 1200 * time.Millisecond
+	// minRelayInterval is the minimum time between two reads through another node, since hundreds
+	// of nodes may use the same one.
+	minRelayInterval = 900 * time.Millisecond
+	// retryPause is the delay before a failed call is retried.
 	retryPause = 100 * time.Millisecond
 )
 
-// KeyedOptions configure the following of a keyed topic.
+// KeyedOptions configures how a keyed topic is followed.
 type KeyedOptions struct {
 	Log   store.Log
 	Topic store.Topic
-	// Pace is the shortest time between two reads.
-	Pace time.Duration
-	// Wait is how long the store may hold a read that finds nothing.
+	// MinInterval is the minimum time between two reads.
+	MinInterval time.Duration
+	// Wait is how long the store may hold a read that finds no records.
 	Wait time.Duration
-	// MostBytes bounds what is asked for by one read; 0 leaves that to the store.
-	MostBytes int
-	// Large says that many nodes may read at once what is large, so that a read which is not held has
-	// as much time for its answer as one that is.
-	Large  bool
-	Logger *zap.Logger
-	// Replace takes the newest record of every key.
+	// MaxBytes bounds the size of one read; 0 leaves the limit to the store.
+	MaxBytes int
+	// LargeTopic is true if many nodes may read large records at the same time. A read without a wait then
+	// has the same timeout as one with the full wait.
+	LargeTopic bool
+	Logger     *zap.Logger
+	// Replace receives the newest record of every key.
 	Replace func([]store.Record)
-	// Change takes the records that came since, in order.
+	// Change receives later records, in order.
 	Change func([]store.Record)
-	// Took is told of all that was taken, by whatever way: the records, whether they replace what was known, and
-	// the offset that follows. It may be nil.
-	Took func(records []store.Record, whole bool, next int64)
-	// Read is told of each answered read, also where nothing had changed: the offset
-	// that follows what was read, whether that was the end, and when the read was asked. The
-	// answer tells what stood there then; it may have been held, and be late.
-	Read func(next int64, end bool, asked time.Time)
-	// Relayed reads the topic from an offset by way of another node, for when the store turns
-	// this one away; below 0 it reads the newest records. It may be nil.
-	Relayed func(ctx context.Context, from int64) (Relay, error)
-	// Guide says where to read next; nil stands for the store, always.
-	Guide Guide
-	// Fetch has a change from other nodes that were given it already. It is not nil where there is a guide.
+	// OnApplied is called for all applied records from any source, with the records, whether they replace the
+	// previous state, and the offset that follows. It may be nil.
+	OnApplied func(records []store.Record, whole bool, next int64)
+	// OnRead is called for each answered read, even if nothing had changed, with the offset
+	// that follows the records, whether that was the end, and the time of the request. The
+	// answer shows the state at that time, since it may have been held or delayed.
+	OnRead func(next int64, end bool, requestedAt time.Time)
+	// ReadRelayed reads the topic from an offset through another node, for use when this node can not
+	// read the store; an offset below 0 requests the newest records. It may be nil.
+	ReadRelayed func(ctx context.Context, from int64) (Relay, error)
+	// Selector selects where to read next; nil always selects the store.
+	Selector SourceSelector
+	// Fetch gets a change from other nodes that already have it. It is required if Selector is set.
 	Fetch func(ctx context.Context, from int64) (Relay, error)
-	// From is the offset to begin at, all before it being known; without FromKnown
-	// the newest records are read first.
+	// From is the first offset to read if FromKnown is set, all earlier records being known.
+	// Without FromKnown the newest records are read first.
 	From      int64
 	FromKnown bool
 }
 
-// Relay is what another node read of a keyed topic.
+// Relay holds the records of a keyed topic that another node has read.
 type Relay struct {
 	Records []store.Record
-	// Whole says that the records are the newest of each key, not what came after the offset.
+	// Whole is true if the records are the newest of every key, not those after an offset.
 	Whole bool
-	// Next is the offset after what was read.
+	// Next is the offset after the records.
 	Next int64
 }
 
 // Keyed follows a keyed topic until the context ends. It starts from the newest
-// records, and again whenever the store has dropped what it had not read.
+// records, and reloads them whenever the store has trimmed records that it had not read.
 func Keyed(ctx context.Context, options KeyedOptions) {
-	if options.Guide == nil {
-		options.Guide = storeAlone{}
+	if options.Selector == nil {
+		options.Selector = storeOnly{}
 	}
-	if options.Took == nil {
-		options.Took = func([]store.Record, bool, int64) {}
+	if options.OnApplied == nil {
+		options.OnApplied = func([]store.Record, bool, int64) {}
 	}
 	reader := keyedReader{KeyedOptions: options, next: -1, outage: Outage{Logger: options.Logger}}
 	if options.FromKnown {
-		reader.next, reader.seen = options.From, options.From
+		reader.next, reader.maxEnd = options.From, options.From
 	}
-	pace := Pace{Base: options.Pace, Most: slowestRead, Retry: retryPause}
+	pacer := Pacer{Base: options.MinInterval, Max: maxReadPause, Retry: retryPause}
 	for ctx.Err() == nil {
-		way := options.Guide.Await(ctx, reader.next)
-		if way == WayFetch {
-			options.Guide.Note(way, reader.fetch(ctx))
+		source := options.Selector.Await(ctx, reader.next)
+		if source == SourcePeers {
+			options.Selector.Note(source, reader.fetch(ctx))
 			continue
 		}
-		err := errStoreLeft
-		if way != WayOthers {
-			err = reader.advance(ctx, way)
-			options.Guide.Note(way, err)
+		err := errStoreSkipped
+		if source != SourceRelay {
+			err = reader.advance(ctx, source)
+			options.Selector.Note(source, err)
 		}
 		reader.failing = err != nil
-		if err != nil && options.Relayed != nil {
+		if err != nil && options.ReadRelayed != nil {
 			reader.advanceRelayed(ctx)
 		}
 		reader.outage.Note(err, zap.Stringer("topic", options.Topic), zap.Int64("offset", reader.next))
-		wait := pace.Next(err)
+		delay := pacer.Next(err)
 		if err == nil && reader.behind {
-			wait = 0 // what piled up during an outage is read at once
+			delay = 0 // read the backlog of an outage without pauses
 		}
-		pause.For(ctx, wait)
+		pause.For(ctx, delay)
 	}
 }
 
 type keyedReader struct {
 	KeyedOptions
-	// next is the offset to read; -1 means that the newest records are needed.
+	// next is the next offset to read; -1 if the newest records are to be loaded.
 	next int64
-	// seen is the highest end that the store has told.
-	seen   int64
+	// maxEnd is the highest end of the topic reported so far.
+	maxEnd int64
 	outage Outage
-	// behind says that the last read did not come to the end.
+	// behind is true if the last read did not reach the end.
 	behind bool
-	// failing says that the last read failed.
+	// failing is true if the last read failed.
 	failing bool
-	// relayedAt is when another node was last asked to read.
-	relayedAt time.Time
-	// loading is what was read of the newest records before a page was not answered.
-	loading loading
+	// lastRelayAt is the time of the last read through another node.
+	lastRelayAt time.Time
+	// snapshot holds the pages of the newest records loaded so far.
+	snapshot snapshotLoad
 }
 
-// loading is a reading of the newest records, page by page. One that is broken off goes on where it
-// was: many nodes that begin anew together hold up the store that was slow to answer them.
-type loading struct {
+// snapshotLoad is a page-by-page load of the newest records. After a failure it resumes at the failed
+// page: if many nodes restarted at once, they would overload a store that was already slow.
+type snapshotLoad struct {
 	records []store.Record
-	// end is that of the first page, asked when that page was asked for.
-	end   int64
-	asked time.Time
-	pages int
+	// end is the topic's end according to the first page, requestedAt the request time of that page.
+	end         int64
+	requestedAt time.Time
+	pages       int
 }
 
-// after returns the key after which the next page begins.
-func (l *loading) after() string {
+// lastKey returns the key after which the next page begins.
+func (l *snapshotLoad) lastKey() string {
 	if len(l.records) == 0 {
 		return ""
 	}
 	return l.records[len(l.records)-1].Key
 }
 
-func (r *keyedReader) advance(ctx context.Context, way Way) error {
+func (r *keyedReader) advance(ctx context.Context, source Source) error {
 	if r.next < 0 {
-		return r.load(ctx)
+		return r.loadSnapshot(ctx)
 	}
-	wait := way.wait(r.Wait)
+	wait := source.wait(r.Wait)
 	if r.failing {
-		// Whether the store answers again is to be known at once.
+		// Detect without delay whether the store answers again.
 		wait = 0
 	}
-	bound := r.Wait + answerTime
-	if !r.Large || way == WayStoreTry {
-		bound = wait + answerTime
+	timeout := r.Wait + answerTimeout
+	if !r.LargeTopic || source == SourceStoreProbe {
+		timeout = wait + answerTimeout
 	}
-	call, cancel := context.WithTimeout(ctx, bound)
+	call, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	asked := clock.Now()
+	requestedAt := clock.Now()
 	batch, err := r.read(call, wait)
 	var trimmed *store.TrimmedError
 	if errors.As(err, &trimmed) {
@@ -179,38 +179,38 @@
 		r.Change(batch.Records)
 	}
 	r.next = batch.Next
-	r.Took(batch.Records, false, r.next)
-	r.seen = max(r.seen, batch.Next)
+	r.OnApplied(batch.Records, false, r.next)
+	r.maxEnd = max(r.maxEnd, batch.Next)
 	r.behind = r.next < batch.End && len(batch.Records) > 0
-	r.Read(r.next, r.next >= batch.End, asked)
+	r.OnRead(r.next, r.next >= batch.End, requestedAt)
 	return nil
 }
 
 func (r *keyedReader) read(ctx context.Context, wait time.Duration) (store.Batch, error) {
 	at := store.Partition{Topic: r.Topic}
-	if r.MostBytes > 0 {
-		return store.ReadPage(ctx, r.Log, at, r.next, wait, r.MostBytes)
+	if r.MaxBytes > 0 {
+		return store.ReadPage(ctx, r.Log, at, r.next, wait, r.MaxBytes)
 	}
 	return r.Log.Read(ctx, at, r.next, wait)
 }
 
-// advanceRelayed takes what another node reads. It does not count as a read of the store.
+// advanceRelayed applies records that another node reads. It does not count as a read of the store.
 func (r *keyedReader) advanceRelayed(ctx context.Context) {
-	if clock.Since(r.relayedAt) < relayPause {
+	if clock.Since(r.lastRelayAt) < minRelayInterval {
 		return
 	}
-	r.relayedAt = clock.Now()
-	relay, err := r.Relayed(ctx, r.next)
+	r.lastRelayAt = clock.Now()
+	relay, err := r.ReadRelayed(ctx, r.next)
 	if err != nil {
-		r.Logger.Debug("no other node reads the store", zap.Stringer("topic", r.Topic), zap.Error(err))
+		r.Logger.Debug("relayed read failed", zap.Stringer("topic", r.Topic), zap.Error(err))
 		return
 	}
-	r.take(relay)
+	r.apply(relay)
 }
 
-// take takes what another node knows, unless that is less than what is known here.
-func (r *keyedReader) take(relay Relay) {
-	if relay.Next < r.seen {
+// apply applies the records of another node unless this node has already read further.
+func (r *keyedReader) apply(relay Relay) {
+	if relay.Next < r.maxEnd {
 		return
 	}
 	switch {
@@ -219,24 +219,24 @@
 	case len(relay.Records) > 0:
 		r.Change(relay.Records)
 	}
-	r.next, r.seen = relay.Next, relay.Next
-	r.Took(relay.Records, relay.Whole, r.next)
+	r.next, r.maxEnd = relay.Next, relay.Next
+	r.OnApplied(relay.Records, relay.Whole, r.next)
 }
 
-// fetch has a change from another node that was given it.
+// fetch gets a change from another node that already has it.
 func (r *keyedReader) fetch(ctx context.Context) error {
 	relay, err := r.Fetch(ctx, r.next)
 	if err != nil {
-		r.Logger.Info("change not given", zap.Stringer("topic", r.Topic), zap.Int64("offset", r.next), zap.Error(err))
+		r.Logger.Info("change not fetched", zap.Stringer("topic", r.Topic), zap.Int64("offset", r.next), zap.Error(err))
 		return err
 	}
-	r.take(relay)
+	r.apply(relay)
 	return nil
 }
 
-var errStaleList = errors.New("list is older than what was read")
+var errStaleSnapshot = errors.New("snapshot is older than the records already read")
 
-func (r *keyedReader) load(ctx context.Context) error {
+func (r *keyedReader) loadSnapshot(ctx context.Context) error {
 	for {
 		more, err := r.loadPage(ctx)
 		if err != nil {
@@ -246,33 +246,33 @@
 			break
 		}
 	}
-	read := r.loading
-	r.loading = loading{}
-	if read.end < r.seen {
-		return errStaleList
+	snapshot := r.snapshot
+	r.snapshot = snapshotLoad{}
+	if snapshot.end < r.maxEnd {
+		return errStaleSnapshot
 	}
-	r.Replace(read.records)
-	r.next = read.end
-	r.seen = read.end
-	r.Took(read.records, true, r.next)
-	r.Read(r.next, true, read.asked)
+	r.Replace(snapshot.records)
+	r.next = snapshot.end
+	r.maxEnd = snapshot.end
+	r.OnApplied(snapshot.records, true, r.next)
+	r.OnRead(r.next, true, snapshot.requestedAt)
 	return nil
 }
 
 // loadPage reads the next page of the newest records.
 func (r *keyedReader) loadPage(ctx context.Context) (more bool, err error) {
-	ctx, cancel := context.WithTimeout(ctx, pageTime)
+	ctx, cancel := context.WithTimeout(ctx, pageTimeout)
 	defer cancel()
-	asked := clock.Now()
-	page, err := store.ReadNewestPage(ctx, r.Log, r.Topic, r.loading.after())
+	requestedAt := clock.Now()
+	page, err := store.ReadNewestPage(ctx, r.Log, r.Topic, r.snapshot.lastKey())
 	if err != nil {
 		return false, err
 	}
-	if r.loading.pages == 0 {
-		// Later pages may be newer; what changed since the first is read again.
-		r.loading.end, r.loading.asked = page.End, asked
+	if r.snapshot.pages == 0 {
+		// Later pages may be newer; changes since the first page are read again.
+		r.snapshot.end, r.snapshot.requestedAt = page.End, requestedAt
 	}
-	r.loading.pages++
-	r.loading.records = append(r.loading.records, page.Records...)
+	r.snapshot.pages++
+	r.snapshot.records = append(r.snapshot.records, page.Records...)
 	return page.More && len(page.Records) > 0, nil
 }
--- a/internal/follow/outage.go
+++ b/internal/follow/outage.go
@@ -2,14 +2,14 @@
 
 import "go.uber.org/zap"
 
-// Outage logs once when calls to the store begin to fail, and once when they go
-// through again. It is used by one goroutine.
+// Outage logs once when calls to the store begin to fail and once when they succeed
+// again. It must be used by one goroutine only.
 type Outage struct {
 	Logger *zap.Logger
 	lost   bool
 }
 
-// Note takes the outcome of a call; the fields say what was called for.
+// Note records the outcome of a call; the fields are added to the log entry.
 func (o *Outage) Note(err error, fields ...zap.Field) {
 	lost := err != nil
 	if lost == o.lost {
--- a/internal/frontend/fleet_test.go
+++ b/internal/frontend/fleet_test.go
@@ -279,8 +279,8 @@
 	name := fmt.Sprint(number)
 	settings := &Settings{Node: name}
 	following := follow.KeyedOptions{
-		Log: log, Topic: store.TopicOperator, Pace: operatorPace, Wait: operatorWait, Large: true, Logger: zap.NewNop(),
-		Replace: node.learn, Change: node.learn, Read: func(int64, bool, time.Time) {}, Relayed: f.relayed(node),
+		Log: log, Topic: store.TopicOperator, MinInterval: operatorPace, Wait: operatorWait, LargeTopic: true, Logger: zap.NewNop(),
+		Replace: node.learn, Change: node.learn, OnRead: func(int64, bool, time.Time) {}, ReadRelayed: f.relayed(node),
 	}
 	if f.large {
 		f.fanOut(node, name, share, &following)
@@ -304,10 +304,10 @@
 func (f *fleetOfNodes) fanOut(node *fleetNode, name string, share float64, following *follow.KeyedOptions) {
 	node.source = fanout.NewSource()
 	node.guide = fanout.NewGuide(fanout.GuideOptions{Share: share, UpToDate: node.source.NoteAsked})
-	following.Guide, following.Took = node.guide, node.source.Take
-	following.Read = func(_ int64, _ bool, asked time.Time) { node.source.NoteAsked(asked) }
-	readFor := following.Relayed
-	following.Relayed = func(ctx context.Context, from int64) (follow.Relay, error) {
+	following.Selector, following.OnApplied = node.guide, node.source.Take
+	following.OnRead = func(_ int64, _ bool, asked time.Time) { node.source.NoteAsked(asked) }
+	readFor := following.ReadRelayed
+	following.ReadRelayed = func(ctx context.Context, from int64) (follow.Relay, error) {
 		if node.guide.Told() {
 			asked := time.Now()
 			poll, cancel := node.guide.UntilContact(ctx)
--- a/internal/frontend/operatorfollow.go
+++ b/internal/frontend/operatorfollow.go
@@ -20,9 +20,9 @@
 // it and tells the others, so that a large configuration is not read from the store by each node.
 func (n *Node) operatorFollowing(log store.Log) follow.KeyedOptions {
 	return follow.KeyedOptions{
-		Log: log, Topic: store.TopicOperator, Pace: operatorPace, Wait: n.operatorHold(), Large: true, Logger: n.options.Logger.Named("operator"),
-		Replace: n.replaceOperator, Change: n.handleOperator, Read: n.noteOperatorRead, Relayed: n.readRelayed,
-		Guide: n.operatorGuide, Fetch: n.fetchOperator, Took: n.operatorSource.Take,
+		Log: log, Topic: store.TopicOperator, MinInterval: operatorPace, Wait: n.operatorHold(), LargeTopic: true, Logger: n.options.Logger.Named("operator"),
+		Replace: n.replaceOperator, Change: n.handleOperator, OnRead: n.noteOperatorRead, ReadRelayed: n.readRelayed,
+		Selector: n.operatorGuide, Fetch: n.fetchOperator, OnApplied: n.operatorSource.Take,
 	}
 }
 
--- a/internal/joblog/read_loop.go
+++ b/internal/joblog/read_loop.go
@@ -34,7 +34,7 @@
 
 // run follows the partition while it is wanted.
 func (p *partition) run(ctx context.Context) {
-	pace := follow.Pace{Most: maxReadPause, Retry: retryPause}
+	pacer := follow.Pacer{Max: maxReadPause, Retry: retryPause}
 	for ctx.Err() == nil && p.waitUntil(ctx, p.wanted) {
 		err := p.advance(ctx)
 		p.outage.Note(err, zap.Stringer("partition", p.at), zap.Int64("offset", p.offset()))
@@ -43,7 +43,7 @@
 		} else {
 			p.noteFailure(err)
 		}
-		pause.For(ctx, pace.Next(err))
+		pause.For(ctx, pacer.Next(err))
 	}
 }
 
--- a/internal/serverlist/direct.go
+++ b/internal/serverlist/direct.go
@@ -102,9 +102,9 @@
 	var watch conc.WaitGroup
 	watch.Go(func() { l.endWhenRelayed(ctx, cancel, versions) })
 	follow.Keyed(ctx, follow.KeyedOptions{
-		Log: l.options.Log, Topic: store.TopicServers, Pace: l.options.Pace, Wait: l.options.Wait, Logger: l.options.Logger,
-		Replace: l.replace, Change: l.change, From: from, FromKnown: known, MostBytes: mostBytes,
-		Read: func(next int64, end bool, _ time.Time) {
+		Log: l.options.Log, Topic: store.TopicServers, MinInterval: l.options.Pace, Wait: l.options.Wait, Logger: l.options.Logger,
+		Replace: l.replace, Change: l.change, From: from, FromKnown: known, MaxBytes: mostBytes,
+		OnRead: func(next int64, end bool, _ time.Time) {
 			l.noteRead(next, end)
 			if l.isUnsure(leading) && l.leaveCrowd() {
 				cancel()
--- a/internal/serverlist/follow.go
+++ b/internal/serverlist/follow.go
@@ -25,7 +25,7 @@
 // runRelay follows the relay of a large fleet. It is read once in a small one too,
 // since a node that starts does not know the fleet's size.
 func (l *List) runRelay(ctx context.Context) {
-	pace := follow.Pace{Most: relaySlowest, Retry: relayRetry}
+	pace := follow.Pacer{Max: relaySlowest, Retry: relayRetry}
 	outage := follow.Outage{Logger: l.options.Logger}
 	for ctx.Err() == nil {
 		if l.knowsRelay() && !l.Large() {
