--- a/internal/coordinator/takeover_test.go
+++ b/internal/coordinator/takeover_test.go
@@ -66,7 +66,7 @@
 
 func (p resignedPredecessor) Yield(int64) bool                 { return true }
 func (p resignedPredecessor) HandOver(int64) liveness.Handover { return p.handover }
-func (p resignedPredecessor) NoteAsked(string)                 {}
+func (p resignedPredecessor) NoteCaller(string)                {}
 
 // serve starts a server for the predecessor and returns its address.
 func (p resignedPredecessor) serve(t *testing.T) string {
--- a/internal/frontend/leading.go
+++ b/internal/frontend/leading.go
@@ -73,5 +73,5 @@
 	return liveness.Ask(ctx, n.options.Settings.Listen.Internal, address, holder, epoch)
 }
 
-// NoteAsked implements liveness.Holder.
-func (n *Node) NoteAsked(address string) { n.peers.Note(address) }
+// NoteCaller implements liveness.Holder.
+func (n *Node) NoteCaller(address string) { n.peers.Note(address) }
--- a/internal/liveness/liveness.go
+++ b/internal/liveness/liveness.go
@@ -1,7 +1,7 @@
-// Package liveness tells whether the process that holds a lease still runs, by
-// asking at its node. A process that is gone is succeeded at once, and so is one that
-// runs but can not reach the store: it yields, and hands over what it could not append.
-// Where nothing certain is known the lease's time to live decides.
+// Package liveness checks whether the process that holds a lease is still running, by
+// calling its node. A process that has ended is replaced at once, and so is one that
+// runs but can not reach the store: it yields, and hands over the records that it could not append.
+// If the result is uncertain, the lease's time to live decides.
 package liveness
 
 import (
@@ -16,19 +16,19 @@
 	"dalehook/internal/store"
 )
 
-// Verdict is what is known of a process.
+// Verdict is the result of a liveness check.
 type Verdict int
 
 // The verdicts.
 const (
-	// Unknown: nobody answered in time.
+	// Unknown: there was no answer in time.
 	Unknown Verdict = iota
 	// Alive: the process answered.
 	Alive
-	// Refused: the node takes no connection. The process has ended, or a fault of
-	// the network answers in its place.
+	// Refused: the node refuses connections. The process has ended, or a network fault
+	// causes the refusal.
 	Refused
-	// Replaced: a later process of the node answered.
+	// Replaced: another, later process of the node answered.
 	Replaced
 	// Yielded: the process answered that it has given up the lease.
 	Yielded
@@ -39,34 +39,34 @@
 	return [...]string{"unknown", "alive", "refused", "replaced", "yielded"}[v]
 }
 
-// Pending are records that a holder of the lease has not appended to a partition.
+// Pending holds records that a lease holder has not yet appended to a partition.
 type Pending struct {
 	Partition store.Partition
 	Records   [][]byte
 }
 
-// Holder is what answers for a process that may hold the lease.
+// Holder is the local process, which may hold the lease.
 type Holder interface {
-	// Yield has the process give up the lease of an epoch if it can not reach the store. It
-	// says whether it has: it does nothing under that epoch any more.
+	// Yield gives up the lease of an epoch if the process can not reach the store. It reports
+	// whether the lease was given up; the process then does nothing more under that epoch.
 	Yield(epoch int64) bool
-	// HandOver ends what the process does under an epoch that it gave up, and returns what
-	// its successor needs.
+	// HandOver ends all activity under an epoch that the process gave up, and returns the
+	// state that its successor needs.
 	HandOver(epoch int64) Handover
-	// NoteAsked is told where a node answers that asked, and so reaches the store.
-	NoteAsked(address string)
+	// NoteCaller receives the address of a calling node, which can reach the store.
+	NoteCaller(address string)
 }
 
-// Question is what a node asks a process.
-type Question struct {
-	// Epoch is that of the lease which the process is thought to hold; 0 asks only whether
-	// the process runs.
+// Request is a request to a process.
+type Request struct {
+	// Epoch is the epoch of the lease that the process is believed to hold; 0 checks only
+	// whether the process is running.
 	Epoch int64
-	// From is where the node that asks answers; it reaches the store.
+	// From is the address of the calling node, which can reach the store.
 	From string
 }
 
-// Answer is what a process says of itself.
+// Answer is a process's answer to a liveness check.
 type Answer struct {
 	Process string
 	Yielded bool
@@ -74,67 +74,67 @@
 
 // Handover is the state that a process leaves to its successor.
 type Handover struct {
-	// Pending are the records that it has not appended.
+	// Pending holds the records that the process has not appended.
 	Pending []Pending
-	// Whole says that they hold all the progress of items that the store holds, too.
+	// Whole is true if Pending includes all item progress, also the progress already in the store.
 	Whole bool
 }
 
-// The calls of the service.
+// Names of the RPC service and its methods.
 const (
 	serviceName    = "Lease"
 	methodAsk      = serviceName + ".Ask"
 	methodHandOver = serviceName + ".HandOver"
 )
 
-// service answers for this process.
+// service implements the RPC service for this process.
 type service struct {
 	process string
 	holder  Holder
 }
 
-// Register has a server answer for this process.
+// Register registers the lease service for this process on a server.
 func Register(server *rpc.Server, process string, holder Holder) error {
-	return eris.Wrap(server.RegisterName(serviceName, &service{process: process, holder: holder}), "register the lease's calls")
+	return eris.Wrap(server.RegisterName(serviceName, &service{process: process, holder: holder}), "register the lease service")
 }
 
-// Ask says which process this is, and yields the lease where it has to.
-func (s *service) Ask(question Question, answer *Answer) error {
+// Ask reports which process this is, and whether it yields the requested lease.
+func (s *service) Ask(request Request, answer *Answer) error {
 	answer.Process = s.process
-	s.holder.NoteAsked(question.From)
-	if question.Epoch > 0 {
-		answer.Yielded = s.holder.Yield(question.Epoch)
+	s.holder.NoteCaller(request.From)
+	if request.Epoch > 0 {
+		answer.Yielded = s.holder.Yield(request.Epoch)
 	}
 	return nil
 }
 
-// HandOver gives what a successor needs of a process that gave up the lease.
-func (s *service) HandOver(question Question, answer *Handover) error {
-	*answer = s.holder.HandOver(question.Epoch)
+// HandOver returns the state that the successor of a process that gave up the lease needs.
+func (s *service) HandOver(request Request, answer *Handover) error {
+	*answer = s.holder.HandOver(request.Epoch)
 	return nil
 }
 
-// Ask asks the node at address whether a process still runs there, and whether it yields
-// the lease of an epoch. From is where the node that asks answers.
+// Ask checks whether a process is still running at the node at address, and whether it yields
+// the lease of an epoch. From is the address of the calling node.
 func Ask(ctx context.Context, from, address, process string, epoch int64) Verdict {
-	var said Answer
-	err := nodecall.Call(ctx, address, methodAsk, Question{Epoch: epoch, From: from}, &said)
+	var answer Answer
+	err := nodecall.Call(ctx, address, methodAsk, Request{Epoch: epoch, From: from}, &answer)
 	switch {
 	case errors.Is(err, syscall.ECONNREFUSED):
 		return Refused
 	case err != nil:
 		return Unknown
-	case said.Process != process:
+	case answer.Process != process:
 		return Replaced
-	case said.Yielded:
+	case answer.Yielded:
 		return Yielded
 	}
 	return Alive
 }
 
-// TakeOver returns what a process leaves that gave up the lease of an epoch.
+// TakeOver requests the handover of a process that gave up the lease of an epoch.
 func TakeOver(ctx context.Context, address string, epoch int64) (Handover, error) {
-	var said Handover
-	err := nodecall.Call(ctx, address, methodHandOver, Question{Epoch: epoch}, &said)
-	return said, err
+	var handover Handover
+	err := nodecall.Call(ctx, address, methodHandOver, Request{Epoch: epoch}, &handover)
+	return handover, err
 }
--- a/internal/liveness/liveness_test.go
+++ b/internal/liveness/liveness_test.go
@@ -19,17 +19,17 @@
 	return Ask(ctx, "asker:1", address, process, 7)
 }
 
-// holder yields the lease of epoch 7 once it is to.
-type holder struct {
-	yields    bool
-	askedFrom string
+// fakeHolder yields the lease of epoch 7 if yields is set.
+type fakeHolder struct {
+	yields bool
+	caller string
 }
 
-func (h *holder) Yield(epoch int64) bool { return h.yields && epoch == 7 }
+func (h *fakeHolder) Yield(epoch int64) bool { return h.yields && epoch == 7 }
 
-func (h *holder) NoteAsked(address string) { h.askedFrom = address }
+func (h *fakeHolder) NoteCaller(address string) { h.caller = address }
 
-func (h *holder) HandOver(epoch int64) Handover {
+func (h *fakeHolder) HandOver(epoch int64) Handover {
 	if epoch != 7 {
 		return Handover{}
 	}
@@ -52,39 +52,39 @@
 		t.Fatal(err)
 	}
 	address := listener.Addr().String()
-	held := &holder{}
+	holder := &fakeHolder{}
 	ended := make(chan error, 1)
-	go func() { ended <- serve(listener, "node/2", held) }()
+	go func() { ended <- serve(listener, "node/2", holder) }()
 	if got := ask(address, "node/2"); got != Alive {
-		t.Errorf("the process itself: %v", got)
+		t.Errorf("same process: %v", got)
 	}
-	if held.askedFrom != "asker:1" {
-		t.Errorf("it was asked from %q", held.askedFrom)
+	if holder.caller != "asker:1" {
+		t.Errorf("caller address %q", holder.caller)
 	}
 	if got := ask(address, "node/1"); got != Replaced {
-		t.Errorf("an earlier process: %v", got)
+		t.Errorf("earlier process: %v", got)
 	}
-	held.yields = true
+	holder.yields = true
 	if got := ask(address, "node/2"); got != Yielded {
-		t.Errorf("a process that yields: %v", got)
+		t.Errorf("yielding process: %v", got)
 	}
 	if got := ask(address, "node/1"); got != Replaced {
-		t.Errorf("an earlier process than one that yields: %v", got)
+		t.Errorf("earlier process than a yielding one: %v", got)
 	}
-	handed, err := TakeOver(context.Background(), address, 7)
-	if diff := cmp.Diff(held.HandOver(7), handed); err != nil || diff != "" {
-		t.Errorf("handed over: %v, %s", err, diff)
+	handover, err := TakeOver(context.Background(), address, 7)
+	if diff := cmp.Diff(holder.HandOver(7), handover); err != nil || diff != "" {
+		t.Errorf("handover: %v, %s", err, diff)
 	}
 	listener.Close()
 	if err := <-ended; err != nil {
 		t.Error(err)
 	}
 	if got := ask(address, "node/2"); got != Refused {
-		t.Errorf("a node without a process: %v", got)
+		t.Errorf("ended process: %v", got)
 	}
 }
 
-func TestASilentNodeIsNotTakenForGone(t *testing.T) {
+func TestUnresponsiveNodeIsUnknown(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -93,6 +93,6 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
 	defer cancel()
 	if got := Ask(ctx, "asker:1", listener.Addr().String(), "node/1", 7); got != Unknown {
-		t.Errorf("a node that says nothing: %v", got)
+		t.Errorf("unresponsive node: %v", got)
 	}
 }
