--- a/internal/roundtrip/counting_conn.go
+++ b/internal/roundtrip/counting_conn.go
@@ -6,17 +6,17 @@
 	"sync"
 )
 
-// errSealed is returned by writes to a connection whose request was given up.
-var errSealed = errors.New("connection is given up")
+// errSealed is returned by writes to a connection whose request has failed.
+var errSealed = errors.New("connection is sealed after a failed request")
 
-// countingConn counts the bytes that were handed to the connection, before they
-// are written, so that a count that has not grown means that no byte left.
+// countingConn counts the bytes passed to the connection before they are written,
+// so that an unchanged count means that no byte was sent.
 type countingConn struct {
 	net.Conn
 
-	mu     sync.Mutex
-	handed int64
-	sealed bool
+	mu       sync.Mutex
+	accepted int64
+	sealed   bool
 }
 
 // Write implements net.Conn.
@@ -33,21 +33,21 @@
 	if c.sealed {
 		return errSealed
 	}
-	c.handed += int64(n)
+	c.accepted += int64(n)
 	return nil
 }
 
-// written returns the number of bytes handed over so far.
+// written returns the number of bytes accepted for writing so far.
 func (c *countingConn) written() int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.handed
+	return c.accepted
 }
 
-// seal refuses each later write and returns the final count.
+// seal rejects all later writes and returns the final count.
 func (c *countingConn) seal() int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.sealed = true
-	return c.handed
+	return c.accepted
 }
--- a/internal/roundtrip/roundtrip.go
+++ b/internal/roundtrip/roundtrip.go
@@ -1,5 +1,5 @@
-// Package roundtrip sends HTTP requests at most once each and tells whether a
-// byte of a failed one may have left.
+// Package roundtrip sends each HTTP request at most once and reports whether any
+// byte of a failed request may have been sent.
 package roundtrip
 
 import (
@@ -20,26 +20,26 @@
 
 // Options configure a Transport.
 type Options struct {
-	// IdleTimeout is how long an unused connection is kept.
+	// IdleTimeout is how long an idle connection is kept.
 	IdleTimeout time.Duration
-	// IdlePerPeer is the largest number of idle connections kept to one peer.
+	// IdlePerPeer is the maximum number of idle connections per peer.
 	IdlePerPeer int
 	// Dial opens connections.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 }
 
-// maxUnsentTries bounds the connections that are tried for one request while no
-// byte of it has left. An idle connection may have been closed by the back end.
-const maxUnsentTries = 3
+// maxUnsentAttempts bounds the connections tried for one request while no byte of it
+// has been sent. An idle connection may have been closed by the back end.
+const maxUnsentAttempts = 3
 
-// Transport sends each request at most once and knows whether a byte of it
-// left. It wraps an http.Transport, which by itself repeats what it takes for
+// Transport sends each request at most once and tracks whether any byte of it was
+// sent. It wraps an http.Transport, which would retry requests that it considers
 // replayable.
 type Transport struct {
 	transport *http.Transport
 }
 
-// New returns a transport without connections.
+// New returns a Transport without open connections.
 func New(options Options) *Transport {
 	dial := func(ctx context.Context, network, address string) (net.Conn, error) {
 		conn, err := options.Dial(ctx, network, address)
@@ -59,12 +59,12 @@
 // Close closes the idle connections.
 func (t *Transport) Close() { t.transport.CloseIdleConnections() }
 
-// Request is one request as Transport sends it.
+// Request is a request to be sent by a Transport.
 type Request struct {
 	Method string
 	// Address is IP:PORT.
 	Address string
-	// Path holds the path and the query.
+	// Path is the path and the query.
 	Path string
 	// Host is sent as the Host header; empty means the address.
 	Host    string
@@ -72,10 +72,10 @@
 	Body    []byte
 }
 
-// Error is a request that got no answer.
+// Error describes a request that got no response.
 type Error struct {
 	Cause error
-	// Sent is true when bytes of the request may have left.
+	// Sent is true if any byte of the request may have been sent.
 	Sent bool
 }
 
@@ -85,64 +85,64 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Cause }
 
-// RoundTrip sends a request and returns the head of its answer; the caller
-// closes the body. While no byte has left it may take another connection.
-func (t *Transport) RoundTrip(ctx context.Context, out Request) (*http.Response, *Error) {
-	target, err := url.ParseRequestURI(out.Path)
+// RoundTrip sends a request and returns the response, whose body the caller must
+// close. It may try another connection as long as no byte has been sent.
+func (t *Transport) RoundTrip(ctx context.Context, r Request) (*http.Response, *Error) {
+	target, err := url.ParseRequestURI(r.Path)
 	if err != nil {
-		return nil, &Error{Cause: eris.Wrap(err, "parse the path")}
+		return nil, &Error{Cause: eris.Wrap(err, "parse request path")}
 	}
 	target.Scheme = "http"
-	target.Host = out.Address
-	for try := 1; ; try++ {
-		response, failed, stale := t.tryOnce(ctx, out, target)
+	target.Host = r.Address
+	for attempt := 1; ; attempt++ {
+		response, failed, reused := t.attempt(ctx, r, target)
 		if failed == nil {
 			return response, nil
 		}
-		if failed.Sent || !stale || try == maxUnsentTries || ctx.Err() != nil {
+		if failed.Sent || !reused || attempt == maxUnsentAttempts || ctx.Err() != nil {
 			return nil, failed
 		}
 	}
 }
 
-// tryOnce sends a request over one connection. Stale means that the connection
-// was an idle one, so that a fresh one may do better.
-func (t *Transport) tryOnce(ctx context.Context, out Request, target *url.URL) (_ *http.Response, _ *Error, stale bool) {
+// attempt sends a request over one connection. reused is true if the connection
+// was an idle one, so that a new connection may succeed.
+func (t *Transport) attempt(ctx context.Context, r Request, target *url.URL) (_ *http.Response, _ *Error, reused bool) {
 	var conn *countingConn
 	var writtenBefore int64
 	trace := &httptrace.ClientTrace{GotConn: func(info httptrace.GotConnInfo) {
 		conn = info.Conn.(*countingConn)
 		writtenBefore = conn.written()
-		stale = info.Reused
+		reused = info.Reused
 	}}
-	request := out.unrepeatable(httptrace.WithClientTrace(ctx, trace), target)
+	request := r.nonReplayable(httptrace.WithClientTrace(ctx, trace), target)
 	response, err := t.transport.RoundTrip(request)
 	if err == nil {
-		return response, nil, stale
+		return response, nil, reused
 	}
 	sent := conn != nil && conn.seal() != writtenBefore
-	return nil, &Error{Cause: err, Sent: sent}, stale
+	return nil, &Error{Cause: err, Sent: sent}, reused
 }
 
-// unrepeatable builds a request that http.Transport does not take for
+// nonReplayable builds a request that http.Transport does not consider
 // replayable: its body is never nil and can not be rewound. An empty body gets
-// the identity encoding, which keeps the transport from sending it in chunks.
-func (out Request) unrepeatable(ctx context.Context, target *url.URL) *http.Request {
+// the identity encoding, which keeps the transport from using chunked encoding.
+func (r Request) nonReplayable(ctx context.Context, target *url.URL) *http.Request {
 	request := &http.Request{
-		Method:        out.Method,
+		Method:        r.Method,
 		URL:           target,
-		Host:          cmp.Or(out.Host, out.Address),
+		Host:          cmp.Or(r.Host, r.Address),
 		Proto:         "HTTP/1.1",
 		ProtoMajor:    1,
 		ProtoMinor:    1,
-		Header:        out.Headers,
-		Body:          io.NopCloser(bytes.NewReader(out.Body)),
-		ContentLength: int64(len(out.Body)),
+		Header:        r.Headers,
+		Body:          io.NopCloser(bytes.NewReader(r.Body)),
+		ContentLength: int64(len(r.Body)),
 	}
-	if len(out.Body) == 0 {
+	if len(r.Body) == 0 {
 		request.TransferEncoding = []string{"identity"}
-		if usuallyHasBody(out.Method) {
-			// The transport writes this spelling as it stands; it drops its own.
+		if usuallyHasBody(r.Method) {
+			// http.Transport writes this non-canonical key unchanged but drops the canonical one.
 			request.Header["content-length"] = []string{"0"}
 		}
 	}
@@ -153,7 +153,7 @@
 	return method == http.MethodPost || method == http.MethodPut || method == http.MethodPatch
 }
 
-// hopByHopHeaders belong to one connection and are not passed on.
+// hopByHopHeaders apply to a single connection and are not forwarded.
 var hopByHopHeaders = map[string]bool{
 	"Connection":          true,
 	"Proxy-Connection":    true,
@@ -166,20 +166,20 @@
 	"Upgrade":             true,
 }
 
-// CopyEndToEnd adds the headers of source to target, less hop-by-hop headers,
-// those that Connection names, and those in without.
-func CopyEndToEnd(target, source http.Header, without map[string]bool) {
-	var named map[string]bool
+// CopyEndToEnd copies the headers of source to target, except hop-by-hop headers,
+// headers named by Connection, and those in exclude.
+func CopyEndToEnd(target, source http.Header, exclude map[string]bool) {
+	var connectionHeaders map[string]bool
 	for _, line := range source["Connection"] {
 		for name := range strings.SplitSeq(line, ",") {
-			if named == nil {
-				named = make(map[string]bool)
+			if connectionHeaders == nil {
+				connectionHeaders = make(map[string]bool)
 			}
-			named[textproto.CanonicalMIMEHeaderKey(textproto.TrimString(name))] = true
+			connectionHeaders[textproto.CanonicalMIMEHeaderKey(textproto.TrimString(name))] = true
 		}
 	}
 	for name, values := range source {
-		if hopByHopHeaders[name] || named[name] || without[name] {
+		if hopByHopHeaders[name] || connectionHeaders[name] || exclude[name] {
 			continue
 		}
 		target[name] = values
