--- a/internal/coordinator/handover_test.go
+++ b/internal/coordinator/handover_test.go
@@ -107,14 +107,14 @@
 	return c
 }
 
-func countProgressRecords(left liveness.Handover) int {
-	texts := 0
-	for _, pending := range left.Pending {
+func countProgressRecords(handover liveness.Handover) int {
+	count := 0
+	for _, pending := range handover.Pending {
 		if pending.Partition.Topic == store.TopicProgress {
-			texts += len(pending.Records)
+			count += len(pending.Records)
 		}
 	}
-	return texts
+	return count
 }
 
 // A handover must hold the progress of all items, however much of it was already appended.
--- a/internal/coordinator/stall_test.go
+++ b/internal/coordinator/stall_test.go
@@ -14,12 +14,12 @@
 // steadyEngines emit an event every 10 ms, except while paused.
 type steadyEngines struct {
 	oneEventEngines
-	began  chan string
-	paused chan struct{}
+	started chan string
+	paused  chan struct{}
 }
 
 func (e steadyEngines) Run(ctx context.Context, start scheduler.Start, emit func(scheduler.Event)) (scheduler.EndReason, error) {
-	e.began <- start.Item.ID
+	e.started <- start.Item.ID
 	for ctx.Err() == nil {
 		time.Sleep(10 * time.Millisecond)
 		e.paused <- struct{}{}
@@ -33,11 +33,11 @@
 // unread. A run without an event for 0.9 s then counted as stalled: all runs were cancelled and
 // restarted at other engines, and no item started for half a second.
 func TestProcessStallDoesNotRestartRuns(t *testing.T) {
-	engines := steadyEngines{began: make(chan string, 100), paused: make(chan struct{}, 1)}
+	engines := steadyEngines{started: make(chan string, 100), paused: make(chan struct{}, 1)}
 	c, jobs := startCoordinator(t, storetest.NewMemory(), engines, 1, zap.NewNop())
 	appendJob(t, jobs, "j", 1)
 	grantLease(c, 1)
-	<-engines.began
+	<-engines.started
 	time.Sleep(4 * tickInterval)
 	c.mutex.Lock()
 	engines.paused <- struct{}{}
@@ -46,7 +46,7 @@
 	time.Sleep(3 * tickInterval)
 	<-engines.paused
 	select {
-	case <-engines.began:
+	case <-engines.started:
 		t.Error("the run was restarted")
 	case <-time.After(time.Second):
 	}
--- a/internal/coordinator/term_test.go
+++ b/internal/coordinator/term_test.go
@@ -21,13 +21,13 @@
 // quickEngines complete each item at once.
 type quickEngines struct {
 	oneEventEngines
-	began chan string
+	started chan string
 }
 
-func newQuickEngines() quickEngines { return quickEngines{began: make(chan string, 100)} }
+func newQuickEngines() quickEngines { return quickEngines{started: make(chan string, 100)} }
 
 func (e quickEngines) Run(_ context.Context, start scheduler.Start, emit func(scheduler.Event)) (scheduler.EndReason, error) {
-	e.began <- start.Item.ID
+	e.started <- start.Item.ID
 	emit(scheduler.Event{ID: "1", Data: "data of " + start.Item.ID, Version: 1})
 	return scheduler.EndCompleted, nil
 }
@@ -56,7 +56,7 @@
 func awaitItem(t *testing.T, engines quickEngines, itemID string) {
 	t.Helper()
 	select {
-	case got := <-engines.began:
+	case got := <-engines.started:
 		if got != itemID {
 			t.Fatalf("item %s started, want %s", got, itemID)
 		}
--- a/internal/joblog/absence_test.go
+++ b/internal/joblog/absence_test.go
@@ -162,9 +162,9 @@
 	logs := startLogs(t, log)
 	logs.Follow(context.Background(), 0)
 	termCtx, cancelTerm := context.WithCancel(context.Background())
-	seen := &recorder{}
-	logs.Subscribe(termCtx, 0, seen)
-	eventually(t, "open job delivered", func() bool { return seen.has("open", 6) })
+	recorded := &recorder{}
+	logs.Subscribe(termCtx, 0, recorded)
+	eventually(t, "open job delivered", func() bool { return recorded.has("open", 6) })
 	cancelTerm()
 	eventually(t, "end of the subscription", func() bool { return !logs.partitions[0].subscribed() })
 	called := false
@@ -235,9 +235,9 @@
 	writer := NewLogs(Options{Log: memory, Partitions: 1, Logger: zap.NewNop()})
 	appendJob(t, memory, writer, "before", 2, 1)
 	logs := startLogs(t, memory)
-	seen := &recorder{}
-	logs.Subscribe(t.Context(), 0, seen)
-	eventually(t, "first job delivered", func() bool { return seen.has("before", 0) })
+	recorded := &recorder{}
+	logs.Subscribe(t.Context(), 0, recorded)
+	eventually(t, "first job delivered", func() bool { return recorded.has("before", 0) })
 	appendJob(t, memory, writer, "meanwhile", 2, 1)
 	if err := checkNotAbsent(t, logs.ViewFollowed, "meanwhile"); err != nil {
 		t.Errorf("with the store available: %v", err)
--- a/internal/joblog/follow_test.go
+++ b/internal/joblog/follow_test.go
@@ -75,18 +75,18 @@
 	indexOpenFrom(t, log, 4)
 	logs := startLogs(t, log)
 	logs.Follow(context.Background(), 0)
-	seen := &recorder{}
-	logs.Subscribe(t.Context(), 0, seen)
-	eventually(t, "open job delivered", func() bool { return seen.has("open", 4) })
-	return log, logs, seen
+	recorded := &recorder{}
+	logs.Subscribe(t.Context(), 0, recorded)
+	eventually(t, "open job delivered", func() bool { return recorded.has("open", 4) })
+	return log, logs, recorded
 }
 
 func TestSuccessorReadsFromFirstOpenJob(t *testing.T) {
-	log, logs, seen := startSubscribed(t)
+	log, logs, recorded := startSubscribed(t)
 	if lowest := log.lowest.Load(); lowest != 4 {
 		t.Errorf("read from offset %d", lowest)
 	}
-	if seen.has("ended", 0) {
+	if recorded.has("ended", 0) {
 		t.Error("ended job delivered")
 	}
 	checkRead(t, logs, "open", 0, 1)
@@ -95,7 +95,7 @@
 // A node that reads from the first open job must answer for earlier jobs too, and not report them
 // as absent.
 func TestEndedJobIsReadBesideSubscriber(t *testing.T) {
-	_, logs, seen := startSubscribed(t)
+	_, logs, recorded := startSubscribed(t)
 	checkRead(t, logs, "ended", 0, 2)
 	checkRead(t, logs, "ended", 1, 1)
 	checkRead(t, logs, "no such job", 0, -1)
@@ -108,8 +108,8 @@
 	if err != nil || !absent {
 		t.Errorf("absent job: %v", err)
 	}
-	if !seen.has("open", 4) || seen.has("ended", 0) {
-		t.Errorf("delivered jobs: %v", seen.starts)
+	if !recorded.has("open", 4) || recorded.has("ended", 0) {
+		t.Errorf("delivered jobs: %v", recorded.starts)
 	}
 }
 
@@ -128,27 +128,27 @@
 // A job may be in the log a second time after it has ended, because the append of the first copy
 // got no answer and was repeated. It must not run again.
 func TestDuplicateOfEndedJobIsIgnored(t *testing.T) {
-	log, logs, seen := startSubscribed(t)
+	log, logs, recorded := startSubscribed(t)
 	writer := NewLogs(Options{Log: log, Partitions: 1, Logger: zap.NewNop()})
 	appendJob(t, log, writer, "ended", 2, 0)
 	appendJob(t, log, writer, "next", 1, 0)
-	eventually(t, "job after the duplicate delivered", func() bool { return seen.has("next", 7) })
-	if seen.has("ended", 6) {
+	eventually(t, "job after the duplicate delivered", func() bool { return recorded.has("next", 7) })
+	if recorded.has("ended", 6) {
 		t.Error("duplicate delivered as a job")
 	}
 	checkRead(t, logs, "ended", 0, 2)
 }
 
 func TestOpenFromRisesAsJobsEnd(t *testing.T) {
-	log, _, seen := startSubscribed(t)
+	log, _, recorded := startSubscribed(t)
 	writer := NewLogs(Options{Log: log, Partitions: 1, Logger: zap.NewNop()})
 	appendJob(t, log, writer, "next", 1, 0) // at 6
 	appendJob(t, log, writer, "last", 1, 0) // at 7
 	appendEnd(t, writer, "next")            // at 8
 	appendEnd(t, writer, "open")            // at 9
-	eventually(t, "end of all jobs before the last", func() bool { return seen.hasOpenFrom(7) })
+	eventually(t, "end of all jobs before the last", func() bool { return recorded.hasOpenFrom(7) })
 	appendEnd(t, writer, "last") // at 10
-	eventually(t, "end of all jobs", func() bool { return seen.hasOpenFrom(11) })
+	eventually(t, "end of all jobs", func() bool { return recorded.hasOpenFrom(11) })
 }
 
 // A coordinator must report at once that it does not follow a job that ended before its term. When it
@@ -209,9 +209,9 @@
 	logs := startLogs(t, log)
 	logs.Follow(t.Context(), 0)
 	time.Sleep(idleTimeout + readWait + 2*maxReadPause)
-	seen := &recorder{}
-	logs.Subscribe(t.Context(), 0, seen)
-	eventually(t, "open job delivered", func() bool { return seen.has("open", 4) })
+	recorded := &recorder{}
+	logs.Subscribe(t.Context(), 0, recorded)
+	eventually(t, "open job delivered", func() bool { return recorded.has("open", 4) })
 	if lowest := log.lowest.Load(); lowest != 4 {
 		t.Errorf("read from offset %d", lowest)
 	}
--- a/internal/joblog/index_test.go
+++ b/internal/joblog/index_test.go
@@ -141,12 +141,12 @@
 	indexJob(t, memory, "late", 2)
 	logs := startLogs(t, memory)
 	checkRead(t, logs, "late", 0, 1)
-	seen := &recorder{}
-	logs.Subscribe(t.Context(), 0, seen)
+	recorded := &recorder{}
+	logs.Subscribe(t.Context(), 0, recorded)
 	deadline := time.Now().Add(10 * time.Second)
-	for !seen.has("early", 0) || !seen.has("late", 2) {
+	for !recorded.has("early", 0) || !recorded.has("late", 2) {
 		if time.Now().After(deadline) {
-			t.Fatalf("delivered jobs: %v", seen.starts)
+			t.Fatalf("delivered jobs: %v", recorded.starts)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
--- a/internal/joblog/staleness_test.go
+++ b/internal/joblog/staleness_test.go
@@ -136,8 +136,8 @@
 	logs := startLogs(t, log)
 	appendJob(t, log, logs, "job", 1, 0)
 	if scheduler {
-		seen := &recorder{}
-		logs.Subscribe(t.Context(), 0, seen)
+		recorded := &recorder{}
+		logs.Subscribe(t.Context(), 0, recorded)
 	}
 	checkRead(t, logs, "job", 0, 0)
 	log.reads.Store(0)
