--- a/internal/crashwatch/share.go
+++ b/internal/crashwatch/share.go
@@ -47,8 +47,8 @@
 // follow reads the findings of other nodes until the context ends.
 func (t *Tracker) follow(ctx context.Context) {
 	follow.Keyed(ctx, follow.KeyedOptions{
-		Log: t.options.Log, Topic: store.TopicQuarantine, Pace: minReadInterval, Wait: longPollWait, Large: true, Logger: t.options.Logger,
-		Replace: t.replaceAll, Change: t.applyChanges, Read: func(int64, bool, time.Time) {}, Relayed: t.options.Relay.Read,
+		Log: t.options.Log, Topic: store.TopicQuarantine, MinInterval: minReadInterval, Wait: longPollWait, LargeTopic: true, Logger: t.options.Logger,
+		Replace: t.replaceAll, Change: t.applyChanges, OnRead: func(int64, bool, time.Time) {}, ReadRelayed: t.options.Relay.Read,
 	})
 }
 
--- a/internal/election/run.go
+++ b/internal/election/run.go
@@ -57,7 +57,7 @@
 	runner := runner{Options: options, machine: NewMachine(clock.Now(), options.Self, options.Address, options.Timing)}
 	runner.outage.Logger = options.Logger
 	runner.partition = store.Partition{Topic: store.TopicLeases, Number: options.Number}
-	pace := follow.Pace{Most: maxReadDelay, Retry: retryDelay}
+	pace := follow.Pacer{Max: maxReadDelay, Retry: retryDelay}
 	for ctx.Err() == nil {
 		err := runner.step(ctx)
 		runner.outage.Note(err, zap.Stringer("partition", runner.partition))
--- a/internal/fanout/guide.go
+++ b/internal/fanout/guide.go
@@ -160,7 +160,7 @@
 }
 
 // Await implements follow.Guide.
-func (g *Guide) Await(ctx context.Context, from int64) follow.Way {
+func (g *Guide) Await(ctx context.Context, from int64) follow.Source {
 	for {
 		way, wait, changed := g.decide(clock.Now(), from)
 		if wait <= 0 {
@@ -170,7 +170,7 @@
 		select {
 		case <-ctx.Done():
 			timer.Stop()
-			return follow.WayStore
+			return follow.SourceStore
 		case <-changed:
 		case <-timer.C:
 		}
@@ -179,26 +179,26 @@
 }
 
 // decide returns the way to read, or how long there is nothing to read unless the observation changes.
-func (g *Guide) decide(now time.Time, from int64) (way follow.Way, wait time.Duration, changed <-chan struct{}) {
+func (g *Guide) decide(now time.Time, from int64) (way follow.Source, wait time.Duration, changed <-chan struct{}) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	way, wait = g.decideLocked(now, from)
 	return way, wait, g.changed
 }
 
-func (g *Guide) decideLocked(now time.Time, from int64) (follow.Way, time.Duration) {
+func (g *Guide) decideLocked(now time.Time, from int64) (follow.Source, time.Duration) {
 	announcement := g.observation.Announcement
 	switch {
 	case g.observation.Announces:
-		return follow.WayStoreBriefly, 0
+		return follow.SourceStoreShortWait, 0
 	case announcement == nil:
-		return follow.WayStore, 0
+		return follow.SourceStore, 0
 	case g.observation.ReadableSince.IsZero():
 		return g.decideUnreadable(now), 0
 	}
 	untilReadAlone := g.readAloneAt().Sub(now)
 	if untilReadAlone <= 0 {
-		return follow.WayStore, 0
+		return follow.SourceStore, 0
 	}
 	g.readsAlone, g.aloneFailedAt = false, time.Time{}
 	if from >= announcement.Next {
@@ -206,7 +206,7 @@
 		return 0, max(untilReadAlone, minWait)
 	}
 	if from >= announcement.Large {
-		return follow.WayStoreNow, 0
+		return follow.SourceStoreNoWait, 0
 	}
 	if announcement.From == "" {
 		return 0, max(untilReadAlone, minWait) // it is believed to have ended: its successor will announce
@@ -224,28 +224,28 @@
 }
 
 // decideUnreadable decides how to read while announcements cannot be read from the store.
-func (g *Guide) decideUnreadable(now time.Time) follow.Way {
+func (g *Guide) decideUnreadable(now time.Time) follow.Source {
 	if now.Sub(g.observation.ReadAt) < unreadableTimeout+g.jitter(unreadableJitter) {
-		return follow.WayOthers
+		return follow.SourceRelay
 	}
 	switch {
 	case g.readsAlone:
-		return follow.WayStore
+		return follow.SourceStore
 	case !g.aloneFailedAt.IsZero() && now.Sub(g.aloneFailedAt) < aloneRetryDelay:
-		return follow.WayOthers
+		return follow.SourceRelay
 	}
-	return follow.WayStoreTry
+	return follow.SourceStoreProbe
 }
 
 // decideLarge decides how to obtain a large change.
-func (g *Guide) decideLarge(now time.Time) (follow.Way, time.Duration) {
+func (g *Guide) decideLarge(now time.Time) (follow.Source, time.Duration) {
 	if g.fetchTarget != g.observation.Announcement.Large {
 		g.fetchTarget, g.fetchAttempts, g.fetchAttemptAt = g.observation.Announcement.Large, 0, now
 	}
 	if g.fetchAttempts < maxFetchAttempts {
-		return follow.WayFetch, g.fetchAttemptAt.Add(g.jitter(fetchJitter)).Sub(now)
+		return follow.SourcePeers, g.fetchAttemptAt.Add(g.jitter(fetchJitter)).Sub(now)
 	}
-	return follow.WayStoreNow, g.fetchAttemptAt.Add(g.jitter(fallbackJitter)).Sub(now)
+	return follow.SourceStoreNoWait, g.fetchAttemptAt.Add(g.jitter(fallbackJitter)).Sub(now)
 }
 
 func (g *Guide) jitter(interval time.Duration) time.Duration {
@@ -253,15 +253,15 @@
 }
 
 // Note implements follow.Guide.
-func (g *Guide) Note(way follow.Way, err error) {
+func (g *Guide) Note(way follow.Source, err error) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	now := clock.Now()
 	switch {
-	case way == follow.WayFetch && err != nil:
+	case way == follow.SourcePeers && err != nil:
 		g.fetchAttempts++
 		g.fetchAttemptAt = now
-	case way == follow.WayFetch:
+	case way == follow.SourcePeers:
 	case err == nil:
 		g.readsAlone, g.aloneFailedAt = g.observation.ReadableSince.IsZero(), time.Time{}
 	default:
--- a/internal/fanout/guide_test.go
+++ b/internal/fanout/guide_test.go
@@ -24,25 +24,25 @@
 		observation Observation
 		from        int64
 		share       float64
-		way         follow.Way
+		way         follow.Source
 		waits       bool
 	}{
-		{"no announcement", Observation{ReadAt: now, ReadableSince: ago(time.Hour)}, 5, 0, follow.WayStore, false},
-		{"this node announces", Observation{Announces: true}, 5, 0, follow.WayStoreBriefly, false},
+		{"no announcement", Observation{ReadAt: now, ReadableSince: ago(time.Hour)}, 5, 0, follow.SourceStore, false},
+		{"this node announces", Observation{Announces: true}, 5, 0, follow.SourceStoreShortWait, false},
 		{"all is known", readable(announcement(5, 2, 0)), 5, 0, 0, true},
 		{"more is known than announced", readable(announcement(5, 2, 0)), 7, 0, 0, true},
-		{"a small change", readable(announcement(6, 2, 0)), 5, 0, follow.WayStoreNow, false},
-		{"a large change", readable(announcement(6, 6, 0)), 5, 0, follow.WayFetch, false},
+		{"a small change", readable(announcement(6, 2, 0)), 5, 0, follow.SourceStoreNoWait, false},
+		{"a large change", readable(announcement(6, 6, 0)), 5, 0, follow.SourcePeers, false},
 		{"a large change, and the coordinator is believed to have ended", readable(&Announcement{Next: 6, Large: 6, ReceivedAt: now}), 5, 0, 0, true},
-		{"nothing is known", readable(announcement(6, 0, 0)), -1, 0, follow.WayFetch, false},
+		{"nothing is known", readable(announcement(6, 0, 0)), -1, 0, follow.SourcePeers, false},
 		{"the coordinator was silent until just before the timeout", readable(announcement(5, 2, announcementTimeout-1)), 5, 0, 0, true},
-		{"the coordinator is silent, an early node", readable(announcement(5, 2, announcementTimeout)), 5, 0, follow.WayStore, false},
+		{"the coordinator is silent, an early node", readable(announcement(5, 2, announcementTimeout)), 5, 0, follow.SourceStore, false},
 		{"the coordinator is silent, a late node", readable(announcement(5, 2, announcementTimeout)), 5, 0.9, 0, true},
-		{"the coordinator is silent for longer, a late node", readable(announcement(5, 2, announcementTimeout+announcementJitter)), 5, 0.9, follow.WayStore, false},
+		{"the coordinator is silent for longer, a late node", readable(announcement(5, 2, announcementTimeout+announcementJitter)), 5, 0.9, follow.SourceStore, false},
 		{"the store answers again, and no announcement could be read before", Observation{Announcement: announcement(5, 2, time.Minute), ReadAt: now, ReadableSince: ago(time.Second)}, 5, 0, 0, true},
-		{"announcements have just become unreadable", Observation{Announcement: announcement(5, 2, time.Second), ReadAt: ago(time.Second)}, 5, 0, follow.WayOthers, false},
-		{"announcements are unreadable, an early node", Observation{Announcement: announcement(5, 2, time.Second), ReadAt: ago(unreadableTimeout)}, 5, 0, follow.WayStoreTry, false},
-		{"announcements are unreadable, a late node", Observation{Announcement: announcement(5, 2, time.Second), ReadAt: ago(unreadableTimeout)}, 5, 0.9, follow.WayOthers, false},
+		{"announcements have just become unreadable", Observation{Announcement: announcement(5, 2, time.Second), ReadAt: ago(time.Second)}, 5, 0, follow.SourceRelay, false},
+		{"announcements are unreadable, an early node", Observation{Announcement: announcement(5, 2, time.Second), ReadAt: ago(unreadableTimeout)}, 5, 0, follow.SourceStoreProbe, false},
+		{"announcements are unreadable, a late node", Observation{Announcement: announcement(5, 2, time.Second), ReadAt: ago(unreadableTimeout)}, 5, 0.9, follow.SourceRelay, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -88,13 +88,13 @@
 	for try := range maxFetchAttempts {
 		// A small change that arrives meanwhile must not restart the attempts.
 		g.Observe(Observation{Announcement: &Announcement{Next: 6 + int64(try), Large: 6, ReceivedAt: now, AskedAt: now, From: "a"}, ReadAt: now, ReadableSince: now})
-		if way, _, _ := g.decide(clock.Now(), 5); way != follow.WayFetch {
+		if way, _, _ := g.decide(clock.Now(), 5); way != follow.SourcePeers {
 			t.Errorf("way %d", way)
 		}
-		g.Note(follow.WayFetch, errors.New("not served"))
+		g.Note(follow.SourcePeers, errors.New("not served"))
 	}
 	way, wait, _ := g.decide(clock.Now(), 5)
-	if way != follow.WayStoreNow || wait <= 0 || wait > fallbackJitter/2 {
+	if way != follow.SourceStoreNoWait || wait <= 0 || wait > fallbackJitter/2 {
 		t.Errorf("way %d after %v", way, wait)
 	}
 }
@@ -105,15 +105,15 @@
 	unreadable := Observation{Announcement: &Announcement{Next: 5, ReceivedAt: clock.Now()}, ReadAt: clock.Now().Add(-unreadableTimeout)}
 	g := NewGuide(GuideOptions{})
 	g.Observe(unreadable)
-	g.Note(follow.WayStoreTry, errors.New("refused"))
-	if way, _, _ := g.decide(clock.Now(), 5); way != follow.WayOthers {
+	g.Note(follow.SourceStoreProbe, errors.New("refused"))
+	if way, _, _ := g.decide(clock.Now(), 5); way != follow.SourceRelay {
 		t.Errorf("after a failure: way %d", way)
 	}
-	if way, _, _ := g.decide(clock.Now().Add(aloneRetryDelay), 5); way != follow.WayStoreTry {
+	if way, _, _ := g.decide(clock.Now().Add(aloneRetryDelay), 5); way != follow.SourceStoreProbe {
 		t.Errorf("long after a failure: way %d", way)
 	}
-	g.Note(follow.WayStoreTry, nil)
-	if way, _, _ := g.decide(clock.Now(), 5); way != follow.WayStore {
+	g.Note(follow.SourceStoreProbe, nil)
+	if way, _, _ := g.decide(clock.Now(), 5); way != follow.SourceStore {
 		t.Errorf("after an answer: way %d", way)
 	}
 }
--- a/internal/serverlist/direct.go
+++ b/internal/serverlist/direct.go
@@ -103,9 +103,9 @@
 	var watch conc.WaitGroup
 	watch.Go(func() { l.stopWhenRelayed(ctx, cancel, versions) })
 	follow.Keyed(ctx, follow.KeyedOptions{
-		Log: l.options.Log, Topic: store.TopicServers, Pace: l.options.MinReadInterval, Wait: l.options.ReadWait, Logger: l.options.Logger,
-		Replace: l.replaceServers, Change: l.applyEntries, From: from, FromKnown: known, MostBytes: mostBytes,
-		Read: func(next int64, end bool, _ time.Time) {
+		Log: l.options.Log, Topic: store.TopicServers, MinInterval: l.options.MinReadInterval, Wait: l.options.ReadWait, Logger: l.options.Logger,
+		Replace: l.replaceServers, Change: l.applyEntries, From: from, FromKnown: known, MaxBytes: mostBytes,
+		OnRead: func(next int64, end bool, _ time.Time) {
 			l.recordHeartbeatRead(next, end)
 			if l.readsTentatively(leading) && l.stopIfTooLarge() {
 				cancel()
--- a/internal/serverlist/follow.go
+++ b/internal/serverlist/follow.go
@@ -25,7 +25,7 @@
 // runRelay follows the relay of a large fleet. In a small fleet it is read once, too, since a node that
 // starts does not know the size of the fleet.
 func (l *List) runRelay(ctx context.Context) {
-	pace := follow.Pace{Most: maxRelayReadDelay, Retry: relayRetryDelay}
+	pace := follow.Pacer{Max: maxRelayReadDelay, Retry: relayRetryDelay}
 	outage := follow.Outage{Logger: l.options.Logger}
 	for ctx.Err() == nil {
 		if l.relayIsCaughtUp() && !l.LargeFleet() {
