--- a/internal/crashwatch/wire_test.go
+++ b/internal/crashwatch/wire_test.go
@@ -9,7 +9,7 @@
 func TestWire(t *testing.T) {
 	wiretest.Check(t, []wiretest.Message{
 		{Name: "end", Codec: wiretest.Gob, Value: endRecord{}, Added: map[string]string{
-			"Age": "0 from builds that do not tell it: the end was seen at some time before it is read; they go by At, and leave Age unread",
+			"Age": "0 in records of older builds: the end precedes the read of its record; older builds use At and ignore Age",
 		}},
 		{Name: "cases", Codec: wiretest.Gob, Value: CasesReply{}},
 		{Name: "release-request", Codec: wiretest.Gob, Value: ReleaseRequest{}},
--- a/internal/gateway/call_test.go
+++ b/internal/gateway/call_test.go
@@ -50,7 +50,7 @@
 func TestCallRequiresCompleteSignedSuccess(t *testing.T) {
 	cases := []struct {
 		name      string
-		answers   []responseFunc
+		responses []responseFunc
 		signature string
 		failures  int
 	}{
@@ -67,7 +67,7 @@
 	}
 	for _, c := range cases {
 		for _, kind := range []routetable.Kind{routetable.KindSafe, routetable.KindUnsafe} {
-			result, backend := callServers(t, kind, c.answers...)
+			result, backend := callServers(t, kind, c.responses...)
 			if result.Signature != c.signature || result.Failures != c.failures {
 				t.Errorf("%s, %v: %+v", c.name, kind, result)
 			}
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -112,12 +112,12 @@
 func TestSingleRequests(t *testing.T) {
 	const long = 10 * time.Second
 	cases := []struct {
-		name     string
-		kind     routetable.Kind
-		answers  []responseFunc
-		status   int
-		body     string
-		attempts int
+		name      string
+		kind      routetable.Kind
+		responses []responseFunc
+		status    int
+		body      string
+		attempts  int
 	}{
 		{"complete response", routetable.KindSafe, []responseFunc{respondWith(200, "ok")}, 200, "ok", 1},
 		{"safe retries after a broken connection", routetable.KindSafe, []responseFunc{failWith(true), respondWith(200, "ok")}, 200, "ok", 2},
@@ -134,7 +134,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			response, body, backend := serve(t, c.kind, false, long, c.answers...)
+			response, body, backend := serve(t, c.kind, false, long, c.responses...)
 			if response.StatusCode != c.status || body != c.body || backend.attemptCount() != c.attempts {
 				t.Errorf("status %d, body %q, %d attempts", response.StatusCode, body, backend.attemptCount())
 			}
--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/ledger.go
@@ -15,11 +15,11 @@
 // and everything else that server was running.
 const (
 	// minEndsProven is the number of ends attributed to a request that prove it to be the cause:
-	// fewer may be chance, since servers also crash by themselves. Callers may cause at most three
+	// fewer may be chance, since servers also crash by themselves. The requirement is at most three
 	// more sends after the third end; a hold at the third leaves room for sends already in flight.
 	minEndsProven = 3
 	// minEndsProgressed is the number for a request that produced events before a server ended: a
-	// long request may meet several unrelated crashes. It leaves one of the three sends.
+	// long request may meet several unrelated crashes. It leaves one of the three sends of the requirement.
 	minEndsProgressed = 5
 	// minEndsAmbiguous is the number from which on a request is delayed if it shares its ends with
 	// others, so that the cause is ambiguous. It then runs apart from the others, and a single end
