--- a/cmd/dalehook-node/run.go
+++ b/cmd/dalehook-node/run.go
@@ -90,13 +90,13 @@
 		return subcommands.ExitUsageError
 	}
 	logger = logger.With(zap.String("node", settings.Node))
-	boundMemory(settings.MemoryMb)
+	boundMemory(settings.MemoryMB)
 	node := frontend.NewNode(frontend.Options{
-		Settings:    settings,
-		Adapter:     platform.NewAdapter(settings),
-		Incarnation: strconv.FormatInt(time.Now().UnixNano(), 36),
-		LostLines:   lines.Dropped,
-		Logger:      logger,
+		Settings:     settings,
+		Adapter:      platform.NewAdapter(settings),
+		Incarnation:  strconv.FormatInt(time.Now().UnixNano(), 36),
+		DroppedLines: lines.Dropped,
+		Logger:       logger,
 	})
 	go func() {
 		for range hangups {
--- a/internal/frontend/access.go
+++ b/internal/frontend/access.go
@@ -9,24 +9,24 @@
 	"dalehook/internal/routetable"
 )
 
-// Admit says on whose behalf a request of a route runs whose caller bears a key, empty for
-// none.
+// Admit authenticates a request of a route by its API key and returns the tenant it runs for; the
+// tenant is empty for requests without one.
 func (n *Node) Admit(table *routetable.Table, route *routetable.Route, requestID, key string) (caller routetable.Caller, verdict Verdict) {
 	caller, admitted := table.Admit(route, key)
-	where := []zap.Field{zap.String("request", requestID), zap.String("route", route.Name)}
+	fields := []zap.Field{zap.String("request", requestID), zap.String("route", route.Name)}
 	if !admitted {
-		n.noteKeyRefused(table, missing(key), where...)
+		n.recordKeyRefusal(table, missingKeyRefusal(key), fields...)
 		return caller, VerdictKeyUnknown
 	}
-	if table.Tenants != nil && !route.Public && n.keysTooOld(clock.Now()) {
-		n.noteKeyRefused(table, keyNotSure, where...)
+	if table.Tenants != nil && !route.Public && n.keysStale(clock.Now()) {
+		n.recordKeyRefusal(table, keyStale, fields...)
 		return caller, VerdictRefused
 	}
 	return caller, VerdictDone
 }
 
-// AdmitToJobs says on whose behalf batch jobs of a host are read and ended by a caller that
-// bears a key. Without a configuration nothing is known of keys.
+// AdmitToJobs authenticates a caller that reads or ends batch jobs of a host, and returns its
+// tenant. It refuses all callers until a configuration is known, since that holds the keys.
 func (n *Node) AdmitToJobs(host, key string) (tenantName string, verdict Verdict) {
 	table := n.table.Load()
 	if table == nil {
@@ -34,66 +34,66 @@
 	}
 	tenantName, admitted := table.AdmitToJobs(host, key)
 	if !admitted {
-		n.noteKeyRefused(table, missing(key), zap.String("host", host))
+		n.recordKeyRefusal(table, missingKeyRefusal(key), zap.String("host", host))
 		return "", VerdictKeyUnknown
 	}
-	if tenantName != "" && n.keysTooOld(clock.Now()) {
-		n.noteKeyRefused(table, keyNotSure, zap.String("host", host))
+	if tenantName != "" && n.keysStale(clock.Now()) {
+		n.recordKeyRefusal(table, keyStale, zap.String("host", host))
 		return "", VerdictRefused
 	}
 	return tenantName, VerdictDone
 }
 
-// keysTooOld says whether a key that is known here may have been withdrawn so long ago that
-// it must serve no more. Operators choose by fail_closed whether callers are then refused or
-// served by what was last known.
-func (n *Node) keysTooOld(now time.Time) bool {
-	return n.options.Settings.Access.FailClosed && n.configurationAge(now) > n.revocation()
+// keysStale reports whether a known key may have been revoked longer ago than the revocation delay.
+// The setting fail_closed decides whether such keys are then refused or still accepted.
+func (n *Node) keysStale(now time.Time) bool {
+	return n.options.Settings.Access.FailClosed && n.configurationAge(now) > n.revocationDelay()
 }
 
-// keyRefusal says why a key is refused.
+// keyRefusal is the reason why a key was refused.
 type keyRefusal string
 
 const (
-	// keyNone: the caller bears no key.
-	keyNone keyRefusal = "none"
-	// keyUnknown: the key belongs to no tenant.
+	// keyMissing: the request has no key.
+	keyMissing keyRefusal = "none"
+	// keyUnknown: no tenant has the key.
 	keyUnknown keyRefusal = "unknown"
-	// keyNotSure: the key is known, but not whether it still belongs to its tenant.
-	keyNotSure keyRefusal = "not sure"
+	// keyStale: the key is known, but may have been revoked since the configuration was read.
+	keyStale keyRefusal = "not sure"
 )
 
-// missing returns why a key that is not known is refused.
-func missing(key string) keyRefusal {
+// missingKeyRefusal returns why a key that no tenant has is refused.
+func missingKeyRefusal(key string) keyRefusal {
 	if key == "" {
-		return keyNone
+		return keyMissing
 	}
 	return keyUnknown
 }
 
-// noteKeyRefused counts and logs a caller without a known key; the key is not shown.
-func (n *Node) noteKeyRefused(table *routetable.Table, reason keyRefusal, fields ...zap.Field) {
+// recordKeyRefusal counts and logs a refused key. The key itself isn't logged.
+func (n *Node) recordKeyRefusal(table *routetable.Table, reason keyRefusal, fields ...zap.Field) {
 	n.metrics.keysRefused.WithLabelValues(string(reason)).Inc()
 	n.logger.Info("key refused", append(fields, zap.String("key", string(reason)), zap.Int64("configuration", table.Version),
 		zap.Duration("configuration_age", n.configurationAge(clock.Now())))...)
 }
 
-// configurationAge returns the time since the store was asked, by this node or another, for what
-// was answered last of the newest configuration.
+// configurationAge returns how long ago this node, or the node that relayed the answer, sent the
+// request to the store whose answer last confirmed the newest configuration.
 func (n *Node) configurationAge(now time.Time) time.Duration {
 	return n.configuredAt.age(now)
 }
 
-// operatorHold is how long the store may hold a read of what operators put. What is known of keys
-// ages by two holds in a quiet store, and no key is to be refused then.
-func (n *Node) operatorHold() time.Duration {
+// operatorReadWait returns the longest poll of the operator topic. In a quiet store the
+// configuration's age reaches two polls, so the poll is at most a quarter of the revocation delay:
+// otherwise keys would be refused although nothing changed.
+func (n *Node) operatorReadWait() time.Duration {
 	if !n.options.Settings.Access.FailClosed {
-		return operatorWait
+		return operatorPollWait
 	}
-	return min(operatorWait, n.revocation()/4)
+	return min(operatorPollWait, n.revocationDelay()/4)
 }
 
-// revocation is the age of what is known of keys from which on it may be too old.
-func (n *Node) revocation() time.Duration {
+// revocationDelay returns the configuration age above which a key counts as stale.
+func (n *Node) revocationDelay() time.Duration {
 	return time.Duration(n.options.Settings.Access.RevocationMs) * time.Millisecond
 }
--- a/internal/frontend/keyage_test.go
+++ b/internal/frontend/access_test.go
@@ -15,15 +15,15 @@
 	"dalehook/internal/store/storetest"
 )
 
-// heldStore is a store that answers reads of the operator's topic when their hold ends, and late
-// after that, with what stood there when they were asked if stale is set.
-type heldStore struct {
+// longPollStore is a store that holds reads of the operator topic to the end of their wait. With
+// stale set, it returns what it held when the read arrived, and does so late after the wait's end.
+type longPollStore struct {
 	*storetest.Memory
 	stale bool
 	late  time.Duration
 }
 
-func (s *heldStore) Read(ctx context.Context, at store.Partition, from int64, wait time.Duration) (store.Batch, error) {
+func (s *longPollStore) Read(ctx context.Context, at store.Partition, from int64, wait time.Duration) (store.Batch, error) {
 	if !s.stale {
 		return s.Memory.Read(ctx, at, from, wait)
 	}
@@ -36,14 +36,15 @@
 	}
 }
 
-// revocation is the bound that the node of these tests keeps.
-const revocation = 2 * time.Second
+// testRevocationDelay is the revocation delay of the node under test.
+const testRevocationDelay = 2 * time.Second
 
-// startKeyNode follows what operators put at a node that refuses keys of which it can not be sure.
+// startKeyNode runs a node with fail_closed that follows the operator topic, and returns a function
+// that returns the newest offset that the node has.
 func startKeyNode(t *testing.T, log store.Log) (node *Node, known func() int64) {
 	node = &Node{options: Options{Settings: &Settings{}, Logger: zap.NewNop()}}
 	node.options.Settings.Access.FailClosed = true
-	node.options.Settings.Access.RevocationMs = int(revocation.Milliseconds())
+	node.options.Settings.Access.RevocationMs = int(testRevocationDelay.Milliseconds())
 	node.operatorGuide, node.operatorSource = node.newOperatorGuide(), fanout.NewSource()
 	var mutex sync.Mutex
 	newest := int64(-1)
@@ -54,7 +55,7 @@
 			newest = max(newest, record.Offset)
 		}
 	}
-	options := node.operatorFollowing(log)
+	options := node.operatorFollowOptions(log)
 	options.Replace, options.Change = learn, learn
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
@@ -67,42 +68,42 @@
 	}
 }
 
-// Seen: a key that was withdrawn longer ago than the bound is served by a node that is to refuse
-// keys of which it can not be sure. The cause: what is known of keys counted as new from when an
-// answer of the store had come, while it tells what stood there when it was asked, up to 1.7 s
-// before. The proof: keys are withdrawn at all moments of the reads of a store whose answers are
-// held and late; after the bound the node either knows, or refuses.
-func TestWhatIsKnownOfKeysIsAsOldAsItsQuestion(t *testing.T) {
+// A node with fail_closed accepted a key that had been revoked longer ago than the revocation
+// delay. The age of the keys counted from the arrival of the store's answer, but the answer holds
+// the state at the time of the request, up to 1.7 s earlier. Here keys are revoked at all points of
+// the reads of a store that answers late and with stale data; after the delay the node must either
+// have the change or refuse the key.
+func TestKeyAgeCountsFromTheRequestToTheStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		memory := storetest.NewMemory()
 		memory.Put(store.TopicOperator, "config", []byte("0"))
-		node, known := startKeyNode(t, &heldStore{Memory: memory, stale: true, late: 600 * time.Millisecond})
+		node, known := startKeyNode(t, &longPollStore{Memory: memory, stale: true, late: 600 * time.Millisecond})
 		time.Sleep(5 * time.Second)
 		served := 0
 		for change := range int64(60) {
-			memory.Put(store.TopicOperator, "config", []byte("withdrawn"))
-			time.Sleep(revocation)
-			if known() < change+1 && !node.keysTooOld(time.Now()) {
+			memory.Put(store.TopicOperator, "config", []byte("revoked"))
+			time.Sleep(testRevocationDelay)
+			if known() < change+1 && !node.keysStale(time.Now()) {
 				served++
 			}
 			time.Sleep(3*time.Second + time.Duration(change)*41*time.Millisecond)
 		}
 		if served > 0 {
-			t.Errorf("%d of 60 withdrawn keys are served %v after", served, revocation)
+			t.Errorf("%d of 60 revoked keys are accepted %v later", served, testRevocationDelay)
 		}
 	})
 }
 
-// In a quiet store, whose reads are held to their end, no key is refused.
-func TestKeysAreNotTooOldInAQuietStore(t *testing.T) {
+// In a quiet store, whose reads are held to the end of their wait, no key is refused.
+func TestKeysAreNotStaleInAQuietStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		memory := storetest.NewMemory()
 		memory.Put(store.TopicOperator, "config", []byte("0"))
-		node, _ := startKeyNode(t, &heldStore{Memory: memory})
+		node, _ := startKeyNode(t, &longPollStore{Memory: memory})
 		time.Sleep(time.Second)
 		for range 500 {
 			time.Sleep(23 * time.Millisecond)
-			if node.keysTooOld(time.Now()) {
+			if node.keysStale(time.Now()) {
 				t.Fatalf("refused at an age of %v", node.configurationAge(time.Now()))
 			}
 		}
--- a/internal/frontend/endedjobs_bench_test.go
+++ b/internal/frontend/endedjobs_bench_test.go
@@ -14,22 +14,22 @@
 	"dalehook/internal/store/storetest"
 )
 
-// thinLink is the link of a weak node in bytes a second: 60 Mbit/s.
-const thinLink = 7_500_000
+// linkBandwidth is the bandwidth of a small node's link in bytes a second: 60 Mbit/s.
+const linkBandwidth = 7_500_000
 
-// The sizes of a job of the grown deployment.
+// Sizes of a job in a large deployment.
 const (
-	grownItems = 150
-	grownText  = 6000
-	grownBody  = 800
-	// grownJobs are the jobs of one partition.
-	grownJobs = 4
+	endedJobItems     = 150
+	endedJobTextBytes = 6000
+	endedJobBodyBytes = 800
+	// endedJobCount is the number of ended jobs in the partition.
+	endedJobCount = 4
 )
 
-func grownJobID(number int) string { return fmt.Sprint("job-", number) }
+func endedJobID(number int) string { return fmt.Sprint("job-", number) }
 
-// endedJobs is a store with jobs that have ended, each with results for all items but the last,
-// and with one open job behind them.
+// endedJobs returns a store with endedJobCount jobs that have ended, each with results for all
+// items but the last, followed by one open job.
 func endedJobs(t testing.TB) *storetest.Memory {
 	memory := storetest.NewMemory()
 	next := int64(0)
@@ -42,18 +42,18 @@
 		}
 		next += int64(len(records))
 	}
-	text := strings.Repeat("some text of a result. ", grownText/23)
-	for number := range grownJobs + 1 {
-		appendIndex(t, memory, grownJobID(number), next)
-		job := &batch.Job{ID: grownJobID(number)}
-		for i := range grownItems {
-			job.Items = append(job.Items, batch.Item{ID: fmt.Sprint(job.ID, "-", i), Body: make([]byte, grownBody)})
+	text := strings.Repeat("some text of a result. ", endedJobTextBytes/23)
+	for number := range endedJobCount + 1 {
+		appendIndex(t, memory, endedJobID(number), next)
+		job := &batch.Job{ID: endedJobID(number)}
+		for i := range endedJobItems {
+			job.Items = append(job.Items, batch.Item{ID: fmt.Sprint(job.ID, "-", i), Body: make([]byte, endedJobBodyBytes)})
 		}
 		add(batch.EncodeJob(job))
-		if number == grownJobs {
+		if number == endedJobCount {
 			break
 		}
-		for _, item := range job.Items[:grownItems-1] {
+		for _, item := range job.Items[:endedJobItems-1] {
 			add(batch.EncodeResult(&batch.Result{JobID: job.ID, ItemID: item.ID, Text: text}))
 		}
 		add(batch.EncodeEnd(&batch.End{JobID: job.ID}))
@@ -68,11 +68,11 @@
 	return memory
 }
 
-// readWhole reads a job's results page by page, and returns how long the first page took and how
-// long all of them.
-func readWhole(t testing.TB, node *jobReader, job string) (first, all time.Duration) {
+// readAllResults reads a job's results page by page, and returns the time to the first page and to
+// the last one.
+func readAllResults(t testing.TB, node *jobReader, job string) (first, all time.Duration) {
 	began := time.Now()
-	for from := 0; from < grownItems-1; {
+	for from := 0; from < endedJobItems-1; {
 		_, results, verdict := node.results(context.Background(), batch.Name{ID: job}, from, 0)
 		if verdict == VerdictAbsent {
 			t.Errorf("job %s is absent", job)
@@ -85,9 +85,10 @@
 	return first, time.Since(began)
 }
 
-// BenchmarkEndedJobs reads jobs that ended before the coordinator's term at a cold node behind a
-// thin link: one, several of one partition at once in either order, and one by several callers. It
-// tells the time to the first page and to the last one of the slowest, and what was read.
+// BenchmarkEndedJobs reads jobs that ended before the coordinator's term, at a node without local
+// records behind a slow link: one job, several of one partition at once in either order, and one
+// job by several callers. It reports the slowest reader's time to the first and to the last page,
+// and the reads and bytes from the store.
 func BenchmarkEndedJobs(b *testing.B) {
 	cases := map[string][]int{
 		"one": {0}, "rising": {0, 1, 2, 3}, "falling": {3, 2, 1, 0}, "same": {1, 1, 1, 1},
@@ -102,10 +103,10 @@
 	var slowestFirst, slowestAll time.Duration
 	reads, bytes := 0, 0
 	for range b.N {
-		coordinator, stopCoordinator := startReader(storetest.NewLink(memory, thinLink), func(readSource) {})
+		coordinator, stopCoordinator := startReader(storetest.NewLink(memory, linkBandwidth), func(readSource) {})
 		coordinator.jobs.Follow(context.Background(), 0)
 		coordinator.jobs.Subscribe(b.Context(), 0, subscriber{})
-		log := storetest.NewLink(memory, thinLink)
+		log := storetest.NewLink(memory, linkBandwidth)
 		node, stop := startReader(log, func(readSource) {})
 		node.observeCoordinator(false, serve(b, coordinator))
 		var readers sync.WaitGroup
@@ -113,7 +114,7 @@
 		for i, job := range jobs {
 			readers.Go(func() {
 				time.Sleep(time.Duration(i) * 20 * time.Millisecond)
-				first, all := readWhole(b, node, grownJobID(job))
+				first, all := readAllResults(b, node, endedJobID(job))
 				mutex.Lock()
 				defer mutex.Unlock()
 				slowestFirst, slowestAll = max(slowestFirst, first), max(slowestAll, all)
--- a/internal/frontend/evacuation.go
+++ b/internal/frontend/evacuation.go
@@ -8,48 +8,49 @@
 	"dalehook/internal/directory"
 )
 
-// evacuatedZones follows which zones the operator has evacuated: their servers are sent nothing
-// more until that is taken back, and what runs there may end. It is used by the goroutine that
-// follows what operators put.
+// evacuatedZones tracks the zones that the operator has evacuated. Servers of such a zone get no
+// new work until the evacuation is cancelled; running work may finish. Only the goroutine that
+// follows the operator topic uses it.
 type evacuatedZones struct {
 	directory *directory.Directory
-	// changed is told when servers take work that took none, or none any more.
-	changed func()
-	logger  *zap.Logger
-	// wanted is what the records say, applied what the directory goes by.
-	wanted, applied map[string]bool
+	// onChange is called when the set of evacuated zones has changed in the directory.
+	onChange func()
+	logger   *zap.Logger
+	// desired is the set according to the operator's records, applied the one that the directory
+	// uses.
+	desired, applied map[string]bool
 }
 
-func (z *evacuatedZones) clear() { z.wanted = nil }
+func (z *evacuatedZones) clear() { z.desired = nil }
 
 func (z *evacuatedZones) set(zone string, evacuated bool) {
-	wanted := maps.Clone(z.wanted)
-	if wanted == nil {
-		wanted = make(map[string]bool)
+	desired := maps.Clone(z.desired)
+	if desired == nil {
+		desired = make(map[string]bool)
 	}
-	delete(wanted, zone)
+	delete(desired, zone)
 	if evacuated {
-		wanted[zone] = true
+		desired[zone] = true
 	}
-	z.wanted = wanted
+	z.desired = desired
 }
 
-// apply has the directory go by what the records say.
+// apply passes the desired set to the directory if it differs from the applied one.
 func (z *evacuatedZones) apply() {
-	if maps.Equal(z.wanted, z.applied) {
+	if maps.Equal(z.desired, z.applied) {
 		return
 	}
-	for zone := range z.wanted {
+	for zone := range z.desired {
 		if !z.applied[zone] {
 			z.logger.Info("zone evacuated", zap.String("zone", zone))
 		}
 	}
 	for zone := range z.applied {
-		if !z.wanted[zone] {
+		if !z.desired[zone] {
 			z.logger.Info("zone no longer evacuated", zap.String("zone", zone))
 		}
 	}
-	z.applied = z.wanted
+	z.applied = z.desired
 	z.directory.SetEvacuated(z.applied)
-	z.changed()
+	z.onChange()
 }
--- a/internal/frontend/evacuation_test.go
+++ b/internal/frontend/evacuation_test.go
@@ -8,16 +8,16 @@
 	"dalehook/internal/directory"
 )
 
-// Servers of a zone that is evacuated take no new work, whether they were listed before or came
-// since, until that is taken back.
-func TestAnEvacuatedZoneTakesNoWork(t *testing.T) {
+// Servers of an evacuated zone take no new work, whether they were listed before or join later,
+// until the evacuation is cancelled.
+func TestEvacuatedZoneTakesNoWork(t *testing.T) {
 	list := directory.NewDirectory()
 	put := func(id, zone string) {
 		server := directory.Server{ID: id, Service: "s", Zone: zone}
 		list.Apply([]directory.Change{{ID: id, Server: &server}})
 	}
 	changes := 0
-	zones := evacuatedZones{directory: list, changed: func() { changes++ }, logger: zap.NewNop()}
+	zones := evacuatedZones{directory: list, onChange: func() { changes++ }, logger: zap.NewNop()}
 	put("a", "north")
 	put("b", "south")
 	steps := []struct {
@@ -27,12 +27,12 @@
 	}{
 		{"before", func() {}, 2},
 		{"evacuated", func() { zones.set("north", true) }, 1},
-		{"a server comes there", func() { put("c", "north") }, 1},
-		{"said again", func() { zones.set("north", true) }, 1},
-		{"the records are read anew, with it", func() { zones.clear(); zones.set("north", true) }, 1},
-		{"taken back", func() { zones.set("north", false) }, 3},
+		{"a server joins the zone", func() { put("c", "north") }, 1},
+		{"evacuated twice", func() { zones.set("north", true) }, 1},
+		{"full read with the evacuation", func() { zones.clear(); zones.set("north", true) }, 1},
+		{"cancelled", func() { zones.set("north", false) }, 3},
 		{"evacuated again", func() { zones.set("north", true) }, 1},
-		{"the records are read anew, without it", func() { zones.clear() }, 3},
+		{"full read without the evacuation", func() { zones.clear() }, 3},
 	}
 	for _, step := range steps {
 		step.do()
@@ -42,7 +42,7 @@
 		}
 	}
 	if changes != 4 {
-		t.Errorf("told of %d changes, want 4", changes)
+		t.Errorf("onChange called %d times, want 4", changes)
 	}
 	if listed := list.Snapshot().Count(); listed != 3 {
 		t.Errorf("%d servers listed", listed)
--- a/internal/frontend/fleet_test.go
+++ b/internal/frontend/fleet_test.go
@@ -19,7 +19,7 @@
 	"dalehook/internal/storeproxy"
 )
 
-// outage is how a store treats the nodes that it turns away.
+// outage is the way in which a store fails for the affected nodes.
 type outage int
 
 const (
@@ -31,37 +31,37 @@
 
 var errReset = fmt.Errorf("connection reset")
 
-// slowAnswer is how long a slow store takes for an answer.
-const slowAnswer = 240 * time.Millisecond
+// slowAnswerDelay is the delay of a slow store's answers.
+const slowAnswerDelay = 240 * time.Millisecond
 
-// fleetStore is a store that hundreds of nodes share: its reads go one after another at a
-// limited rate, and it has outages for a share of the nodes.
+// fleetStore is a store shared by hundreds of nodes. Its reads share a limited bandwidth, and it
+// can have an outage for some of the nodes.
 type fleetStore struct {
 	memory *storetest.Memory
 
-	mutex  sync.Mutex
-	kind   outage
-	struck func(node int) bool
-	// freeAt is when the reads that were begun have gone out.
+	mutex    sync.Mutex
+	kind     outage
+	affected func(node int) bool
+	// freeAt is when the answers begun so far have been sent.
 	freeAt time.Time
 }
 
-// bytesPerSecond is what the platform's stores read for all nodes.
-const bytesPerSecond = 80e6
+// storeBytesPerSecond is the read bandwidth of the platform's store for all nodes together.
+const storeBytesPerSecond = 80e6
 
-func (s *fleetStore) strike(kind outage, struck func(node int) bool) {
+func (s *fleetStore) setOutage(kind outage, struck func(node int) bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.kind, s.struck = kind, struck
+	s.kind, s.affected = kind, struck
 }
 
-func (s *fleetStore) strikes(node int) (outage, bool) {
+func (s *fleetStore) outageOf(node int) (outage, bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.kind, s.struck != nil && s.struck(node)
+	return s.kind, s.affected != nil && s.affected(node)
 }
 
-// send returns how long an answer of a size waits for those before it.
+// send returns how long an answer of a size takes, including the queue before it.
 func (s *fleetStore) send(size int) time.Duration {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -69,11 +69,11 @@
 	if s.freeAt.Before(now) {
 		s.freeAt = now
 	}
-	s.freeAt = s.freeAt.Add(time.Duration(float64(size) / bytesPerSecond * float64(time.Second)))
+	s.freeAt = s.freeAt.Add(time.Duration(float64(size) / storeBytesPerSecond * float64(time.Second)))
 	return s.freeAt.Sub(now)
 }
 
-// nodeLog is the store as one node reaches it.
+// nodeLog is the store as seen by one node.
 type nodeLog struct {
 	*fleetStore
 	node int
@@ -81,8 +81,8 @@
 
 var _ store.Log = nodeLog{}
 
-func (l nodeLog) enter(ctx context.Context) error {
-	kind, struck := l.strikes(l.node)
+func (l nodeLog) applyOutage(ctx context.Context) error {
+	kind, struck := l.outageOf(l.node)
 	if !struck {
 		return ctx.Err()
 	}
@@ -92,7 +92,7 @@
 	case outageResets:
 		return errReset
 	case outageSlow:
-		time.Sleep(slowAnswer)
+		time.Sleep(slowAnswerDelay)
 		return ctx.Err()
 	}
 	<-ctx.Done()
@@ -100,28 +100,28 @@
 }
 
 func (l nodeLog) Append(ctx context.Context, at store.Partition, payloads [][]byte) (int64, error) {
-	if err := l.enter(ctx); err != nil {
+	if err := l.applyOutage(ctx); err != nil {
 		return 0, err
 	}
 	return l.memory.Append(ctx, at, payloads)
 }
 
 func (l nodeLog) AppendAt(ctx context.Context, at store.Partition, end int64, payloads [][]byte) (int64, error) {
-	if err := l.enter(ctx); err != nil {
+	if err := l.applyOutage(ctx); err != nil {
 		return 0, err
 	}
 	return l.memory.AppendAt(ctx, at, end, payloads)
 }
 
 func (l nodeLog) PutKeyed(ctx context.Context, topic store.Topic, records []store.Record) error {
-	if err := l.enter(ctx); err != nil {
+	if err := l.applyOutage(ctx); err != nil {
 		return err
 	}
 	return l.memory.PutKeyed(ctx, topic, records)
 }
 
 func (l nodeLog) Read(ctx context.Context, at store.Partition, from int64, wait time.Duration) (store.Batch, error) {
-	if err := l.enter(ctx); err != nil {
+	if err := l.applyOutage(ctx); err != nil {
 		return store.Batch{}, err
 	}
 	read, err := l.memory.Read(ctx, at, from, wait)
@@ -135,7 +135,7 @@
 }
 
 func (l nodeLog) Newest(ctx context.Context, topic store.Topic) ([]store.Record, int64, error) {
-	if err := l.enter(ctx); err != nil {
+	if err := l.applyOutage(ctx); err != nil {
 		return nil, 0, err
 	}
 	records, end, err := l.memory.Newest(ctx, topic)
@@ -157,46 +157,47 @@
 }
 
 func (l nodeLog) Trim(ctx context.Context, at store.Partition, before int64) error {
-	if err := l.enter(ctx); err != nil {
+	if err := l.applyOutage(ctx); err != nil {
 		return err
 	}
 	return l.memory.Trim(ctx, at, before)
 }
 
-// fleetNode is a node's part in the election, and what it knows of the operator's topic.
+// fleetNode is a node that takes part in the election and follows the operator topic.
 type fleetNode struct {
 	hold  election.Hold
 	peers storeproxy.Peers
 	proxy *storeproxy.Proxy
-	// stop ends the node, stopped says that it was.
+	// stop ends the node; stopped is true afterwards.
 	stop    context.CancelFunc
 	stopped bool
 
-	mutex sync.Mutex
-	held  bool
-	known int
-	// value is what was learned last, at an offset; wentBack says that something earlier was learned after it.
-	value    []byte
-	offset   int64
-	wentBack bool
+	mutex        sync.Mutex
+	held         bool
+	largestKnown int
+	// value is the value received last, at offset; regressed is true if it came after a later
+	// offset.
+	value     []byte
+	offset    int64
+	regressed bool
 
-	// guide and source are nil in a fleet whose coordinator tells the others nothing.
+	// guide and source are nil in a small fleet, whose coordinator announces nothing.
 	guide  *fanout.Guide
 	source *fanout.Source
-	// link is the node's way to other nodes.
+	// link limits the node's bandwidth to other nodes.
 	link nodeLink
 }
 
-// linkBytesPerSecond is what a node sends to all others.
+// linkBytesPerSecond is the bandwidth of one node to all others.
 const linkBytesPerSecond = 75e6
 
-// nodeLink sends one answer after another.
+// nodeLink is a link that sends answers one after another.
 type nodeLink struct {
 	mutex  sync.Mutex
 	freeAt time.Time
 }
 
-// send returns how long an answer of a size takes, with those before it.
+// send returns how long an answer of a size takes, including the queue before it.
 func (l *nodeLink) send(size int) time.Duration {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -211,27 +212,27 @@
 func (n *fleetNode) observe(standing election.Standing) {
 	n.peers.Note(standing.Coordinator)
 	if n.guide != nil {
-		n.guide.Observe(reportOf(standing, true))
+		n.guide.Observe(fanoutReport(standing, true))
 	}
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	n.held = standing.Held
 }
 
-// news is Node.operatorNews in a large fleet.
+// news corresponds to Node.operatorNews in a large fleet.
 func (n *fleetNode) news() *election.News {
 	if n.source == nil {
 		return nil
 	}
-	return newsOf(n.source)
+	return newsFrom(n.source)
 }
 
 func (n *fleetNode) learn(records []store.Record) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	for _, record := range records {
-		n.known = max(n.known, len(record.Value))
-		n.wentBack = n.wentBack || record.Offset < n.offset
+		n.largestKnown = max(n.largestKnown, len(record.Value))
+		n.regressed = n.regressed || record.Offset < n.offset
 		n.value, n.offset = record.Value, record.Offset
 	}
 }
@@ -239,16 +240,16 @@
 func (n *fleetNode) state() (held bool, known int) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	return n.held, n.known
+	return n.held, n.largestKnown
 }
 
-// fleetOfNodes runs hundreds of nodes before one store.
+// fleetOfNodes runs hundreds of nodes on one store.
 type fleetOfNodes struct {
 	store   *fleetStore
 	nodes   []*fleetNode
 	ctx     context.Context
 	running *sync.WaitGroup
-	// large says that the coordinator tells the others what is put.
+	// large is true if the coordinator announces changes to the others.
 	large bool
 }
 
@@ -256,7 +257,7 @@
 	return startFleetWith(ctx, running, nodes, nil)
 }
 
-// startFleetWith starts a fleet before a store that holds a configuration already, nil for none.
+// startFleetWith starts a fleet on a store that already holds a configuration, nil for none.
 func startFleetWith(ctx context.Context, running *sync.WaitGroup, nodes int, configuration []byte) *fleetOfNodes {
 	f := &fleetOfNodes{store: &fleetStore{memory: storetest.NewMemory()}, ctx: ctx, running: running, large: nodes >= wholeFleetNodes}
 	if configuration != nil {
@@ -268,7 +269,7 @@
 	return f
 }
 
-// startNode adds a node to the fleet, whose place among all is a share.
+// startNode adds a node to the fleet; share is its position in the fleet, from 0 to 1.
 func (f *fleetOfNodes) startNode(share float64) *fleetNode {
 	ctx, stop := context.WithCancel(f.ctx)
 	number := len(f.nodes)
@@ -279,18 +280,18 @@
 	name := fmt.Sprint(number)
 	settings := &Settings{Node: name}
 	following := follow.KeyedOptions{
-		Log: log, Topic: store.TopicOperator, Pace: operatorPace, Wait: operatorWait, Large: true, Logger: zap.NewNop(),
-		Replace: node.learn, Change: node.learn, Read: func(int64, bool, time.Time) {}, Relayed: f.relayed(node),
+		Log: log, Topic: store.TopicOperator, Pace: operatorMinInterval, Wait: operatorPollWait, Large: true, Logger: zap.NewNop(),
+		Replace: node.learn, Change: node.learn, Read: func(int64, bool, time.Time) {}, Relayed: f.relayFunc(node),
 	}
 	if f.large {
-		f.fanOut(node, name, share, &following)
+		f.enableFanout(node, name, share, &following)
 	}
 	f.running.Add(2)
 	go func() {
 		defer f.running.Done()
 		election.Run(ctx, election.Options{
 			Log: log, Self: name, Address: name, Timing: leaseTiming(settings), Hold: &node.hold, Logger: zap.NewNop(),
-			Observe: node.observe, Leaving: make(chan struct{}), Ask: f.askFrom(name), News: node.news,
+			Observe: node.observe, Leaving: make(chan struct{}), Ask: f.probeFunc(name), News: node.news,
 		})
 	}()
 	go func() {
@@ -300,8 +301,8 @@
 	return node
 }
 
-// fanOut has a node follow the topic as those of a large fleet do.
-func (f *fleetOfNodes) fanOut(node *fleetNode, name string, share float64, following *follow.KeyedOptions) {
+// enableFanout makes a node follow the operator topic as in a large fleet.
+func (f *fleetOfNodes) enableFanout(node *fleetNode, name string, share float64, following *follow.KeyedOptions) {
 	node.source = fanout.NewSource()
 	node.guide = fanout.NewGuide(fanout.GuideOptions{Share: share, UpToDate: node.source.NoteAsked})
 	following.Guide, following.Took = node.guide, node.source.Take
@@ -336,12 +337,12 @@
 
 var errNoAddress = fmt.Errorf("no address")
 
-// take asks a node for a change, which comes over that node's link.
+// take fetches a change from a node over that node's link.
 func (f *fleetOfNodes) take(ctx context.Context, address string, question fanout.Question) (fanout.Answer, error) {
 	if address == "" {
 		return fanout.Answer{}, errNoAddress
 	}
-	giver := f.at(address)
+	giver := f.nodeAt(address)
 	if giver.isStopped() {
 		return fanout.Answer{}, errNoAddress
 	}
@@ -352,16 +353,17 @@
 	return answer, nil
 }
 
-func (f *fleetOfNodes) at(address string) *fleetNode {
+func (f *fleetOfNodes) nodeAt(address string) *fleetNode {
 	var number int
 	fmt.Sscan(address, &number)
 	return f.nodes[number]
 }
 
-// askFrom returns how a node asks at the node of a holder, which always answers.
-func (f *fleetOfNodes) askFrom(name string) func(context.Context, string, string, int64) liveness.Verdict {
+// probeFunc returns the function by which a node probes the holder's node, which always answers
+// while it runs.
+func (f *fleetOfNodes) probeFunc(name string) func(context.Context, string, string, int64) liveness.Verdict {
 	return func(_ context.Context, address, _ string, epoch int64) liveness.Verdict {
-		holder := f.at(address)
+		holder := f.nodeAt(address)
 		if holder.isStopped() {
 			return liveness.Unknown
 		}
@@ -373,10 +375,10 @@
 	}
 }
 
-// relayed returns how a node has others read for it.
-func (f *fleetOfNodes) relayed(node *fleetNode) func(context.Context, int64) (follow.Relay, error) {
+// relayFunc returns the function by which a node reads the operator topic by way of others.
+func (f *fleetOfNodes) relayFunc(node *fleetNode) func(context.Context, int64) (follow.Relay, error) {
 	call := func(ctx context.Context, address string, question storeproxy.Question) (storeproxy.Answer, error) {
-		reader := f.at(address)
+		reader := f.nodeAt(address)
 		if reader.isStopped() {
 			return storeproxy.Answer{}, errNoAddress
 		}
@@ -398,7 +400,7 @@
 	return n.stopped
 }
 
-// holders returns how many nodes hold the lease.
+// holders returns the number of nodes that hold the lease.
 func (f *fleetOfNodes) holders() int {
 	count := 0
 	for _, node := range f.nodes {
@@ -409,13 +411,13 @@
 	return count
 }
 
-// put puts a configuration of a size, which tells it from the others.
+// put puts a configuration; its size identifies it.
 func (f *fleetOfNodes) put(size int) {
 	f.store.memory.Put(store.TopicOperator, "config", make([]byte, size))
 }
 
-// unaware returns how many nodes do not know the configuration of a size.
-func (f *fleetOfNodes) unaware(size int) int {
+// countWithout returns the number of nodes that don't have the configuration of a size.
+func (f *fleetOfNodes) countWithout(size int) int {
 	count := 0
 	for _, node := range f.nodes {
 		if _, known := node.state(); known < size {
--- a/internal/frontend/jobreads.go
+++ b/internal/frontend/jobreads.go
@@ -14,15 +14,15 @@
 	"dalehook/internal/jobread"
 )
 
-// readSource is where the answer to a read of a job was looked for last.
+// readSource is the source of the answer to a read of a batch job.
 type readSource int
 
 const (
-	// sourceKnown: this node had read it already.
-	sourceKnown readSource = iota
+	// sourceLocal: this node had the records already.
+	sourceLocal readSource = iota
 	// sourceCoordinator: the coordinator was asked.
 	sourceCoordinator
-	// sourceStore: this node read the store for it.
+	// sourceStore: this node read the store.
 	sourceStore
 )
 
@@ -30,47 +30,49 @@
 func (s readSource) String() string { return [...]string{"known", "coordinator", "store"}[s] }
 
 const (
-	// followedPatience is how long the coordinator waits for its own reading to bring what
-	// a read asks for. What was appended just now is read within some ms; a coordinator
-	// that has taken over reads all partitions first.
-	followedPatience = 500 * time.Millisecond
-	// passOnPatience is how long a node waits for the coordinator's answer, beyond what the
-	// answer may be held: followedPatience, the way, and the time of a node with a fifth of
-	// a core. Callers wait 1.5 s.
-	passOnPatience = 750 * time.Millisecond
-	// passOnPause is how long a node asks a coordinator no more that did not answer.
-	passOnPause = time.Second
-	// successorPatience is how long a read waits for a coordinator to be known.
-	successorPatience = 400 * time.Millisecond
-	// passOnBytes bounds the texts of an answer. Callers get pages of this size.
-	passOnBytes = 700 << 10
-	// takeOverTime is how long a fleet may be without a coordinator until nodes look for
-	// jobs that the index does not hold in whole partitions. Sooner, hundreds of nodes
-	// would read at once what the next coordinator needs to read.
-	takeOverTime = 4 * time.Second
+	// followTimeout bounds the time that the coordinator waits until its followed partitions hold
+	// what a read asks for. New records arrive within some milliseconds; a coordinator that has
+	// just taken over reads all partitions first.
+	followTimeout = 500 * time.Millisecond
+	// forwardTimeout is how long a node waits for the coordinator's answer, in addition to a long
+	// poll: followTimeout, the round trip, and the delays of a node that has a fifth of a core.
+	// Callers wait 1.5 s.
+	forwardTimeout = 750 * time.Millisecond
+	// forwardBackoff is the time for which a coordinator that didn't answer isn't asked again.
+	forwardBackoff = time.Second
+	// coordinatorWait is how long a read waits until a coordinator is known.
+	coordinatorWait = 400 * time.Millisecond
+	// maxPageBytes limits the texts in one answer of the coordinator, which is also the page size
+	// that callers see.
+	maxPageBytes = 700 << 10
+	// takeoverTimeout is how long there must be no coordinator before a node searches whole
+	// partitions for jobs that aren't in the index. With a shorter time, hundreds of nodes would
+	// read the same partitions at once as the next coordinator.
+	takeoverTimeout = 4 * time.Second
 )
 
-// jobReader answers reads of batch jobs: from what this node knows, else from the
-// coordinator, which follows all partitions, else from the store.
+// jobReader answers reads of batch jobs: from local records, else from the coordinator, which
+// follows all partitions, else from the store.
 type jobReader struct {
 	jobs    *joblog.Logs
 	observe func(readSource)
-	// observeMisread is told of each answer of a coordinator that did not understand the question.
+	// observeMisread is called for each answer of a coordinator that didn't understand the
+	// question.
 	observeMisread func()
 	logger         *zap.Logger
 
 	mutex sync.Mutex
-	// coordinator is where the coordinator answers; empty when nothing certain is known.
+	// coordinator is the internal address of the coordinator, empty while unknown.
 	coordinator string
-	// leading says that this node coordinates.
+	// leading is true while this node is the coordinator.
 	leading bool
-	// changed is closed and replaced when either of these changes.
+	// changed is closed and replaced when coordinator or leading changes.
 	changed chan struct{}
-	// failedAt is when the coordinator last did not answer.
+	// failedAt is when the coordinator last failed to answer; zero after an answer.
 	failedAt time.Time
-	// seenAt is when a coordinator was last known and answered, if it was asked.
+	// seenAt is when a coordinator was last known and, if it was called, answered.
 	seenAt time.Time
-	// misreadBy is the coordinator that last did not understand a question.
+	// misreadBy is the address of the coordinator that last didn't understand a question.
 	misreadBy string
 }
 
@@ -80,8 +82,8 @@
 	return &jobReader{jobs: jobs, observe: observe, observeMisread: observeMisread, logger: logger, changed: make(chan struct{}), seenAt: clock.Now()}
 }
 
-// observeCoordinator takes whether this node coordinates, and where another answers that
-// does, empty when that is not known.
+// observeCoordinator records whether this node is the coordinator, and the address of another one,
+// empty if unknown.
 func (r *jobReader) observeCoordinator(leading bool, address string) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -95,17 +97,17 @@
 	}
 }
 
-// passOnTo returns where a read is passed on to, empty for nowhere. It waits a while for a
-// coordinator to be known.
-func (r *jobReader) passOnTo(ctx context.Context) string {
-	ctx, cancel := context.WithTimeout(ctx, successorPatience)
+// awaitForwardTarget returns the address to which a read is forwarded, empty for none. It waits up
+// to coordinatorWait until a coordinator is known.
+func (r *jobReader) awaitForwardTarget(ctx context.Context) string {
+	ctx, cancel := context.WithTimeout(ctx, coordinatorWait)
 	defer cancel()
 	for {
 		r.mutex.Lock()
 		known, changed := r.leading || r.coordinator != "", r.changed
 		r.mutex.Unlock()
 		if known {
-			return r.answering()
+			return r.forwardTarget()
 		}
 		select {
 		case <-ctx.Done():
@@ -115,39 +117,39 @@
 	}
 }
 
-// answering returns where another node coordinates that is not known to be silent; empty for
-// none.
-func (r *jobReader) answering() string {
+// forwardTarget returns the address of another node that is the coordinator, empty if there is none
+// or if it failed to answer within forwardBackoff.
+func (r *jobReader) forwardTarget() string {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if r.leading || clock.Since(r.failedAt) < passOnPause {
+	if r.leading || clock.Since(r.failedAt) < forwardBackoff {
 		return ""
 	}
 	return r.coordinator
 }
 
-// readsWhole says whether this node reads a whole partition for a job that the index does
-// not hold, since nobody else is there to do so.
-func (r *jobReader) readsWhole() bool {
+// mayReadWholePartition reports whether this node searches a whole partition for a job that isn't
+// in the index: as the coordinator, or if there has been none for takeoverTimeout.
+func (r *jobReader) mayReadWholePartition() bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return r.leading || clock.Since(r.seenAt) > takeOverTime
+	return r.leading || clock.Since(r.seenAt) > takeoverTimeout
 }
 
-// ask makes a call to the coordinator at an address, and notes whether it answered.
-func (r *jobReader) ask(ctx context.Context, address, jobID string, patience time.Duration, call func(context.Context) error) (answered bool) {
-	bounded, cancel := context.WithTimeout(ctx, patience)
+// callCoordinator calls the coordinator at an address and records whether it answered.
+func (r *jobReader) callCoordinator(ctx context.Context, address, jobID string, timeout time.Duration, call func(context.Context) error) (answered bool) {
+	bounded, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	err := call(bounded)
 	if ctx.Err() == nil {
-		// Else the caller has left, which says nothing of the coordinator.
-		r.noteAnswer(address, jobID, err)
+		// If the caller has cancelled, the error says nothing about the coordinator.
+		r.recordAnswer(address, jobID, err)
 	}
 	return err == nil
 }
 
-// noteAnswer takes whether the coordinator at an address answered.
-func (r *jobReader) noteAnswer(address, jobID string, err error) {
+// recordAnswer records the result of a call to the coordinator.
+func (r *jobReader) recordAnswer(address, jobID string, err error) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if err == nil {
@@ -160,23 +162,23 @@
 	r.failedAt = clock.Now()
 }
 
-// results returns a job's results from a position on. Where there is none yet, the answer
-// may be held for wait.
+// results returns a job's results from a position on. If there are none yet, it polls for up to
+// wait.
 func (r *jobReader) results(ctx context.Context, job batch.Name, from int, wait time.Duration) (total int, results []batch.Result, verdict Verdict) {
-	source := sourceKnown
+	source := sourceLocal
 	page := r.knownResults(job, from)
 	if page.Verdict == jobread.Found {
-		page = r.awaitLocally(ctx, job, from, wait, page)
-	} else if page = r.passResultsOn(ctx, job, from, wait); page.Verdict != jobread.NotFollowed {
+		page = r.awaitLocalResults(ctx, job, from, wait, page)
+	} else if page = r.forwardResults(ctx, job, from, wait); page.Verdict != jobread.NotFollowed {
 		source = sourceCoordinator
 	} else {
 		source = sourceStore
-		page = r.awaitLocally(ctx, job, from, wait, r.storedResults(ctx, job, from))
+		page = r.awaitLocalResults(ctx, job, from, wait, r.storedResults(ctx, job, from))
 	}
 	r.observe(source)
 	if page.Verdict == jobread.Absent {
-		// A caller whose job was accepted asks who said that it is not there.
-		r.logger.Info("job absent", zap.String("job", job.ID), zap.Stringer("source", source), zap.String("coordinator", r.answering()))
+		// Logged so that a wrong answer about an accepted job can be traced to its source.
+		r.logger.Info("job absent", zap.String("job", job.ID), zap.Stringer("source", source), zap.String("coordinator", r.forwardTarget()))
 	}
 	return page.Total, page.Results, verdictOf(page.Verdict)
 }
@@ -191,29 +193,29 @@
 	return VerdictRefused
 }
 
-// passResultsOn asks the coordinator, if one is known: for what there is now, so that one
-// that is gone is soon noticed, and once more where the answer may be held.
-func (r *jobReader) passResultsOn(ctx context.Context, job batch.Name, from int, wait time.Duration) jobread.Results {
-	address := r.passOnTo(ctx)
+// forwardResults asks the coordinator, if one is known. It first asks without a wait, so that a
+// dead coordinator is noticed early, and then again as a long poll.
+func (r *jobReader) forwardResults(ctx context.Context, job batch.Name, from int, wait time.Duration) jobread.Results {
+	address := r.awaitForwardTarget(ctx)
 	if address == "" {
 		return jobread.Results{}
 	}
-	question := jobread.ResultsQuestion{Job: job, From: from, MostBytes: passOnBytes}
-	asked := clock.Now()
-	page := r.askResults(ctx, address, question)
+	question := jobread.ResultsQuestion{Job: job, From: from, MostBytes: maxPageBytes}
+	askedAt := clock.Now()
+	page := r.callResults(ctx, address, question)
 	if page.Verdict != jobread.Found || len(page.Results) > 0 || page.Ended || wait <= 0 {
 		return page
 	}
 	question.Wait = wait
-	later := r.askResults(ctx, address, question)
-	if later.Verdict != jobread.Found && clock.Since(asked) < joblog.FreshFor {
+	held := r.callResults(ctx, address, question)
+	if held.Verdict != jobread.Found && clock.Since(askedAt) < joblog.FreshFor {
 		return page
 	}
-	return later // that there was nothing before the hold says too little by now
+	return held // the page from before the long poll is too old
 }
 
-func (r *jobReader) askResults(ctx context.Context, address string, question jobread.ResultsQuestion) (page jobread.Results) {
-	answered := r.ask(ctx, address, question.Job.ID, question.Wait+passOnPatience, func(ctx context.Context) (err error) {
+func (r *jobReader) callResults(ctx context.Context, address string, question jobread.ResultsQuestion) (page jobread.Results) {
+	answered := r.callCoordinator(ctx, address, question.Job.ID, question.Wait+forwardTimeout, func(ctx context.Context) (err error) {
 		page, err = jobread.AskResults(ctx, address, question)
 		return err
 	})
@@ -223,8 +225,8 @@
 	return page
 }
 
-// understood says whether the coordinator at an address answered what it was asked. Where it did not, the
-// store is read.
+// understood reports whether the coordinator's answer refers to the job that was asked for. If not,
+// the caller reads the store instead.
 func (r *jobReader) understood(address string, asked, answered batch.Name, verdict jobread.Verdict) bool {
 	if jobread.Understood(asked, answered, verdict) {
 		return true
@@ -240,8 +242,8 @@
 	return false
 }
 
-// awaitLocally holds a page without results until this node's own reading brings one.
-func (r *jobReader) awaitLocally(ctx context.Context, job batch.Name, from int, wait time.Duration, page jobread.Results) jobread.Results {
+// awaitLocalResults waits, for a page without results, until this node's own records have one.
+func (r *jobReader) awaitLocalResults(ctx context.Context, job batch.Name, from int, wait time.Duration, page jobread.Results) jobread.Results {
 	if page.Verdict != jobread.Found || len(page.Results) > 0 || page.Ended || wait <= 0 {
 		return page
 	}
@@ -251,15 +253,15 @@
 	return r.storedResults(ctx, job, from)
 }
 
-// knownResults returns what this node knows of a job, if that suffices.
+// knownResults returns a job's results from local records, if these suffice.
 func (r *jobReader) knownResults(job batch.Name, from int) (page jobread.Results) {
-	r.jobs.ViewKnown(job.ID, joblog.HasPosition(from), func(state *batch.State) { page = pageOf(state, job, from) })
+	r.jobs.ViewKnown(job.ID, joblog.HasPosition(from), func(state *batch.State) { page = resultsPage(state, job, from) })
 	return page
 }
 
-// storedResults returns what the store says of a job.
+// storedResults reads a job's results from the store.
 func (r *jobReader) storedResults(ctx context.Context, job batch.Name, from int) (page jobread.Results) {
-	err := r.view(ctx, job.ID, joblog.HasPosition(from), func(state *batch.State) { page = pageOf(state, job, from) })
+	err := r.view(ctx, job.ID, joblog.HasPosition(from), func(state *batch.State) { page = resultsPage(state, job, from) })
 	if err != nil {
 		r.logger.Warn("batch job not read", zap.String("job", job.ID), zap.Error(err))
 		return jobread.Results{Verdict: jobread.Behind}
@@ -267,17 +269,18 @@
 	return page
 }
 
-// view reads the store for a job, no more of it than is the job's if others may do the rest.
+// view reads a job from the store. It reads only the job's own records, as the index has them,
+// unless this node may read the whole partition.
 func (r *jobReader) view(ctx context.Context, jobID string, satisfied joblog.Condition, visit func(*batch.State)) error {
-	if r.readsWhole() {
+	if r.mayReadWholePartition() {
 		return r.jobs.View(ctx, jobID, satisfied, visit)
 	}
 	return r.jobs.ViewIndexed(ctx, jobID, satisfied, visit)
 }
 
-// pageOf returns a job's results from a position on; the state is nil for no such job. To
-// other tenants a job is as if it were not there.
-func pageOf(state *batch.State, job batch.Name, from int) jobread.Results {
+// resultsPage returns a job's results from a position on; state is nil if the job doesn't exist. A
+// job of another tenant is reported as absent.
+func resultsPage(state *batch.State, job batch.Name, from int) jobread.Results {
 	if state == nil || !state.Is(job) {
 		return jobread.Results{Verdict: jobread.Absent}
 	}
@@ -295,17 +298,17 @@
 		cancel()
 	}
 	err := r.viewFollowed(question.Job.ID, joblog.HasPosition(question.From), func(state *batch.State) {
-		page = pageOf(state, question.Job, question.From)
+		page = resultsPage(state, question.Job, question.From)
 	})
 	if err != nil {
 		return jobread.Results{Verdict: verdictOfError(err)}
 	}
-	page.Results = cutResults(page.Results, question.MostBytes)
+	page.Results = limitResults(page.Results, question.MostBytes)
 	return page
 }
 
 func (r *jobReader) viewFollowed(jobID string, satisfied joblog.Condition, visit func(*batch.State)) error {
-	ctx, cancel := context.WithTimeout(context.Background(), followedPatience)
+	ctx, cancel := context.WithTimeout(context.Background(), followTimeout)
 	defer cancel()
 	return r.jobs.ViewFollowed(ctx, jobID, satisfied, visit)
 }
@@ -317,13 +320,13 @@
 	return jobread.Behind
 }
 
-// cutResults returns the first results, whose texts hold no more than so many bytes, but one
-// result at least.
-func cutResults(results []batch.Result, most int) []batch.Result {
+// limitResults returns the first results whose texts have at most maxBytes in all, and at least one
+// result.
+func limitResults(results []batch.Result, maxBytes int) []batch.Result {
 	size := 0
 	for i, result := range results {
 		size += len(result.Text)
-		if i > 0 && size > most {
+		if i > 0 && size > maxBytes {
 			return results[:i]
 		}
 	}
@@ -332,9 +335,9 @@
 
 // itemBody returns the body of an item that has no result yet.
 func (r *jobReader) itemBody(ctx context.Context, job batch.Name, itemID string) ([]byte, Verdict) {
-	body, source := jobread.Body{}, sourceKnown
-	if known := r.jobs.ViewKnown(job.ID, joblog.HasItem(itemID), func(state *batch.State) { body = bodyOf(state, job, itemID) }); !known {
-		if body = r.passBodyOn(ctx, job, itemID); body.Verdict != jobread.NotFollowed {
+	body, source := jobread.Body{}, sourceLocal
+	if known := r.jobs.ViewKnown(job.ID, joblog.HasItem(itemID), func(state *batch.State) { body = lookupBody(state, job, itemID) }); !known {
+		if body = r.forwardBody(ctx, job, itemID); body.Verdict != jobread.NotFollowed {
 			source = sourceCoordinator
 		} else {
 			source = sourceStore
@@ -345,13 +348,13 @@
 	return body.Bytes, verdictOf(body.Verdict)
 }
 
-// passBodyOn asks the coordinator for a body, if one is known.
-func (r *jobReader) passBodyOn(ctx context.Context, job batch.Name, itemID string) (body jobread.Body) {
-	address := r.passOnTo(ctx)
+// forwardBody asks the coordinator for a body, if one is known.
+func (r *jobReader) forwardBody(ctx context.Context, job batch.Name, itemID string) (body jobread.Body) {
+	address := r.awaitForwardTarget(ctx)
 	if address == "" {
 		return jobread.Body{}
 	}
-	answered := r.ask(ctx, address, job.ID, passOnPatience, func(ctx context.Context) (err error) {
+	answered := r.callCoordinator(ctx, address, job.ID, forwardTimeout, func(ctx context.Context) (err error) {
 		body, err = jobread.AskBody(ctx, address, jobread.BodyQuestion{Job: job, ItemID: itemID})
 		return err
 	})
@@ -362,7 +365,7 @@
 }
 
 func (r *jobReader) storedBody(ctx context.Context, job batch.Name, itemID string) (body jobread.Body) {
-	err := r.view(ctx, job.ID, joblog.HasItem(itemID), func(state *batch.State) { body = bodyOf(state, job, itemID) })
+	err := r.view(ctx, job.ID, joblog.HasItem(itemID), func(state *batch.State) { body = lookupBody(state, job, itemID) })
 	if err != nil {
 		r.logger.Warn("item not read", zap.String("job", job.ID), zap.String("item", itemID), zap.Error(err))
 		return jobread.Body{Verdict: jobread.Behind}
@@ -370,8 +373,8 @@
 	return body
 }
 
-// bodyOf returns the body of a job's item; the state is nil for no such job.
-func bodyOf(state *batch.State, job batch.Name, itemID string) jobread.Body {
+// lookupBody returns the body of a job's item; state is nil if the job doesn't exist.
+func lookupBody(state *batch.State, job batch.Name, itemID string) jobread.Body {
 	if state == nil || !state.Is(job) || state.Item(itemID) == nil || state.Listed(itemID) {
 		return jobread.Body{Verdict: jobread.Absent}
 	}
@@ -381,7 +384,7 @@
 // FollowedBody implements jobread.Reader.
 func (r *jobReader) FollowedBody(question jobread.BodyQuestion) (body jobread.Body) {
 	err := r.viewFollowed(question.Job.ID, joblog.HasItem(question.ItemID), func(state *batch.State) {
-		body = bodyOf(state, question.Job, question.ItemID)
+		body = lookupBody(state, question.Job, question.ItemID)
 	})
 	if err != nil {
 		return jobread.Body{Verdict: verdictOfError(err)}
--- a/internal/frontend/jobreads_absent_test.go
+++ b/internal/frontend/jobreads_absent_test.go
@@ -12,9 +12,9 @@
 	"dalehook/internal/store/storetest"
 )
 
-// checkNotDenied asks a node for the results and for an item of a job that was accepted: the
-// answers may be that it is not known here, and never that it is not there.
-func checkNotDenied(t *testing.T, node *readerNode, job, item string) {
+// checkNotReportedAbsent reads the results and an item of an accepted job at a node. The node may
+// fail to answer, but must not report them as absent.
+func checkNotReportedAbsent(t *testing.T, node *readerNode, job, item string) {
 	t.Helper()
 	if _, _, verdict := node.results(context.Background(), batch.Name{ID: job}, 0, 0); verdict == VerdictAbsent {
 		t.Errorf("job %s is said to be absent", job)
@@ -24,9 +24,9 @@
 	}
 }
 
-// Nodes and coordinators that may not know all of a partition deny no job that was accepted: the
-// store dropped the partition's beginning, with an entry of the job in the index or without.
-func TestAJobThatMayHaveStoodInWhatIsGoneIsNotDenied(t *testing.T) {
+// A job whose records the store has trimmed isn't reported as absent, by nodes or coordinators,
+// with or without its entry in the index: they can't know that it never existed.
+func TestJobInTrimmedRecordsIsNotReportedAbsent(t *testing.T) {
 	for _, indexed := range []bool{true, false} {
 		memory := storetest.NewMemory()
 		appendOpenJob(t, memory, "dropped")
@@ -43,14 +43,14 @@
 		node := newReaderNode(t, memory)
 		node.observeCoordinator(false, serve(t, coordinator))
 		alone := newReaderNode(t, memory)
-		alone.seenAt = time.Now().Add(-takeOverTime)
+		alone.seenAt = time.Now().Add(-takeoverTimeout)
 		for name, reader := range map[string]*readerNode{"coordinator": coordinator, "node": node, "alone": alone} {
-			t.Run(name, func(t *testing.T) { checkNotDenied(t, reader, "dropped", "dropped-0") })
+			t.Run(name, func(t *testing.T) { checkNotReportedAbsent(t, reader, "dropped", "dropped-0") })
 		}
 	}
 }
 
-// appendOpenJob accepts a job of one item without a result.
+// appendOpenJob appends a job of one item without a result.
 func appendOpenJob(t *testing.T, memory *storetest.Memory, id string) {
 	t.Helper()
 	records, err := batch.EncodeJob(&batch.Job{ID: id, Items: []batch.Item{{ID: id + "-0", Body: []byte("body")}}})
@@ -62,11 +62,12 @@
 	}
 }
 
-// A coordinator that was cut off from the store, does not know that it was replaced, and is asked
-// for a job that was accepted meanwhile, says that it is behind; so does the node that asked it.
-func TestACoordinatorThatWasReplacedDeniesNothing(t *testing.T) {
+// A coordinator that is cut off from the store, and so doesn't know of its successor or of newly
+// accepted jobs, reports itself as behind instead of reporting such a job as absent; so does a node
+// that asks it.
+func TestReplacedCoordinatorReportsNoJobAbsent(t *testing.T) {
 	memory := storetest.NewMemory()
-	cut := &faultyLog{Memory: memory}
+	cut := &cuttableLog{Memory: memory}
 	coordinator := &readerNode{}
 	reader, stop := startReader(cut, func(readSource) {})
 	t.Cleanup(stop)
@@ -74,22 +75,22 @@
 	coordinator.jobs.Subscribe(t.Context(), 0, subscriber{})
 	coordinator.observeCoordinator(true, "")
 	appendOpenJob(t, memory, "before")
-	checkNotDenied(t, coordinator, "before", "before-0")
+	checkNotReportedAbsent(t, coordinator, "before", "before-0")
 	cut.cut.Store(true)
-	appendOpenJob(t, memory, "meanwhile")
+	appendOpenJob(t, memory, "accepted later")
 	node := newReaderNode(t, memory)
 	node.observeCoordinator(false, serve(t, coordinator))
-	checkNotDenied(t, coordinator, "meanwhile", "meanwhile-0")
-	checkNotDenied(t, node, "meanwhile", "meanwhile-0")
+	checkNotReportedAbsent(t, coordinator, "accepted later", "accepted later-0")
+	checkNotReportedAbsent(t, node, "accepted later", "accepted later-0")
 	cut.cut.Store(false)
-	if _, verdict := node.itemBody(context.Background(), batch.Name{ID: "meanwhile"}, "meanwhile-0"); verdict != VerdictDone {
-		t.Errorf("when the store answers again: %v", verdict)
+	if _, verdict := node.itemBody(context.Background(), batch.Name{ID: "accepted later"}, "accepted later-0"); verdict != VerdictDone {
+		t.Errorf("after the store is reachable again: %v", verdict)
 	}
 }
 
-// A coordinator whose index does not hold a job's entry yet, or never will since its writer was
-// lost, finds the job where it stands behind the first open one.
-func TestAJobWithoutItsEntryIsNotDenied(t *testing.T) {
+// A coordinator finds a job behind the first open one even if the index has no entry for it, yet or
+// ever, since the node that should have written it was lost.
+func TestUnindexedJobIsNotReportedAbsent(t *testing.T) {
 	memory := storetest.NewMemory()
 	appendOpenJob(t, memory, "open")
 	appendIndex(t, memory, "open", 0)
@@ -101,31 +102,30 @@
 	node := newReaderNode(t, memory)
 	node.observeCoordinator(false, serve(t, coordinator))
 	for name, reader := range map[string]*readerNode{"coordinator": coordinator, "node": node, "without a coordinator": newReaderNode(t, memory)} {
-		t.Run(name, func(t *testing.T) { checkNotDenied(t, reader, "not indexed", "not indexed-0") })
+		t.Run(name, func(t *testing.T) { checkNotReportedAbsent(t, reader, "not indexed", "not indexed-0") })
 	}
 	if body := coordinator.FollowedBody(jobread.BodyQuestion{Job: batch.Name{ID: "not indexed"}, ItemID: "not indexed-0"}); body.Verdict != jobread.Found {
 		t.Errorf("the coordinator: %v", body.Verdict)
 	}
 }
 
-// silentAfter answers the first question of results as asked at once, and no held one.
-type silentAfter struct {
+// hangingReader answers reads without a wait and blocks on long polls.
+type hangingReader struct {
 	jobread.Reader
 	stop <-chan struct{}
 }
 
-func (s silentAfter) FollowedResults(question jobread.ResultsQuestion) jobread.Results {
+func (s hangingReader) FollowedResults(question jobread.ResultsQuestion) jobread.Results {
 	if question.Wait > 0 {
 		<-s.stop
 	}
 	return s.Reader.FollowedResults(question)
 }
 
-// Seen: a node answers that there is nothing at a position, over a second after that position was
-// read at another node. The cause: what the coordinator had said before it held the question was
-// given when it fell silent in the hold. The proof: a result comes during the hold of a
-// coordinator that does not answer any more.
-func TestWhatWasSaidBeforeAHoldIsNotTheAnswerAfterIt(t *testing.T) {
+// A node reported a position as empty more than a second after another node had read a result
+// there: when the coordinator stopped answering in the middle of a long poll, the node returned the
+// page from before the poll. Here a result is appended while the coordinator hangs in the poll.
+func TestStalePageIsNotReturnedAfterALongPoll(t *testing.T) {
 	memory := storetest.NewMemory()
 	appendOpenJob(t, memory, "job")
 	appendIndex(t, memory, "job", 0)
@@ -134,7 +134,7 @@
 	stop := make(chan struct{})
 	defer close(stop)
 	node := newReaderNode(t, memory)
-	node.observeCoordinator(false, serve(t, silentAfter{Reader: coordinator, stop: stop}))
+	node.observeCoordinator(false, serve(t, hangingReader{Reader: coordinator, stop: stop}))
 	go func() {
 		time.Sleep(50 * time.Millisecond)
 		records, err := batch.EncodeResult(&batch.Result{JobID: "job", ItemID: "job-0", Text: "text"})
@@ -147,17 +147,17 @@
 	}()
 	_, results, verdict := node.results(context.Background(), batch.Name{ID: "job"}, 0, time.Second)
 	if verdict == VerdictDone && len(results) == 0 {
-		t.Error("a position that is there since 1.7 s is said to be empty")
+		t.Error("a result appended 1.7 s ago is missing from the answer")
 	}
 }
 
-// faultyLog is a store that one node can be cut off from.
-type faultyLog struct {
+// cuttableLog is a store from which one node can be cut off.
+type cuttableLog struct {
 	*storetest.Memory
 	cut atomic.Bool
 }
 
-func (f *faultyLog) Read(ctx context.Context, at store.Partition, from int64, wait time.Duration) (store.Batch, error) {
+func (f *cuttableLog) Read(ctx context.Context, at store.Partition, from int64, wait time.Duration) (store.Batch, error) {
 	if f.cut.Load() {
 		return store.Batch{}, store.ErrRefused
 	}
--- a/internal/frontend/jobreads_bench_test.go
+++ b/internal/frontend/jobreads_bench_test.go
@@ -13,7 +13,7 @@
 	"dalehook/internal/store/storetest"
 )
 
-// countedLog counts the bytes that are read of jobs and their index.
+// countedLog counts the bytes read.
 type countedLog struct {
 	*storetest.Memory
 	bytes atomic.Int64
@@ -27,13 +27,13 @@
 	return read, err
 }
 
-// The sizes of a job on the large site: items, and bytes of a result's text.
+// Sizes of a job on a large site: items, and bytes of a result's text.
 const (
 	benchItems = 192
 	benchText  = 4800
 )
 
-// appendBenchJob appends a job, its results and its end, and returns its records' number.
+// appendBenchJob appends a job, its results and its end, and returns the number of its records.
 func appendBenchJob(b *testing.B, memory *storetest.Memory, id string) int64 {
 	b.Helper()
 	job := &batch.Job{ID: id}
@@ -58,9 +58,10 @@
 	return int64(len(records))
 }
 
-// BenchmarkColdRead reads the last results of a job at a node that knows nothing, by the
-// number of other jobs before it in its partition: by the coordinator, from where the index
-// says that the job begins, and of the whole partition. It tells the bytes read of the store.
+// BenchmarkColdRead reads the last results of a job at a node without local records, with 1, 10 or
+// 100 other jobs before it in the partition: through the coordinator, from the job's start
+// according to the index, and from the start of the partition. It reports the bytes read from the
+// store.
 func BenchmarkColdRead(b *testing.B) {
 	for _, others := range []int{1, 10, 100} {
 		log := &countedLog{Memory: storetest.NewMemory()}
@@ -90,7 +91,7 @@
 		case "coordinator":
 			node.observeCoordinator(false, address)
 		case "partition":
-			node.seenAt = time.Now().Add(-takeOverTime)
+			node.seenAt = time.Now().Add(-takeoverTimeout)
 		}
 		before = log.bytes.Load()
 		if way == "partition" {
--- a/internal/frontend/jobreads_builds_test.go
+++ b/internal/frontend/jobreads_builds_test.go
@@ -13,18 +13,15 @@
 	"dalehook/internal/store/storetest"
 )
 
-// While the nodes of a fleet were replaced one after the other, reads of accepted jobs were answered
-// 404 at nodes of either build, from the first node of the other build until all were of one.
-//
-// A node passes a read on to the coordinator as gob. In the earlier build's question the job stood as
-// JobID, in the later one's as Job, a tenant and an id. gob drops what the reader does not know, and
-// leaves zero what is missing: the coordinator of the other build looked for the job without a name,
-// and answered that there is none, which the asker believed.
-//
-// What proves it: 206 and 219 such answers in plays of two real programs, one in each order; none
-// where both builds name the job alike. The cases below ask, and answer, as the earlier build did.
+// Guards against wrong 404 answers during rolling upgrades. Nodes forward reads to the coordinator
+// as gob. The earlier build's question identified the job by JobID, the later one's by Job with a
+// tenant and an id. Since gob drops unknown fields and leaves missing ones zero, a coordinator of
+// the other build looked up a job with an empty name and reported it as absent, and the asking node
+// believed it. Two real programs gave 206 and 219 such answers, one count for each order of the
+// upgrade, and none where both builds identify the job alike. The cases below ask and answer as the
+// earlier build did.
 
-// EarlierResultsQuestion and EarlierBodyQuestion are the questions of builds that know no tenants.
+// EarlierResultsQuestion and EarlierBodyQuestion are the questions of builds without tenants.
 type EarlierResultsQuestion struct {
 	JobID     string
 	From      int
@@ -34,7 +31,7 @@
 
 type EarlierBodyQuestion struct{ JobID, ItemID string }
 
-// earlierCoordinator answers as a coordinator of such a build, which follows one job.
+// earlierCoordinator answers as a coordinator of such a build that follows one job.
 type earlierCoordinator struct{ job string }
 
 func (c *earlierCoordinator) Results(question EarlierResultsQuestion, answer *jobread.Results) error {
@@ -53,7 +50,7 @@
 	return nil
 }
 
-// appendJobOf accepts a job of a tenant with two items, the first of which has a result.
+// appendJobOf appends a tenant's job with two items, the first of which has a result.
 func appendJobOf(t *testing.T, memory *storetest.Memory, name batch.Name) {
 	t.Helper()
 	items := []batch.Item{{ID: name.ID + "-0"}, {ID: name.ID + "-1", Body: []byte("body")}}
@@ -71,15 +68,15 @@
 	appendIndex(t, memory, name.ID, 0)
 }
 
-// Nodes and coordinators of two builds read each other's jobs, and none denies a job since it did not
-// understand for which one it was asked.
+// Nodes and coordinators of two builds read each other's jobs, and never report a job as absent
+// because they didn't understand which one was asked for.
 func TestJobsAreReadBetweenBuilds(t *testing.T) {
 	ctx := context.Background()
 	for _, name := range []batch.Name{{ID: "job"}, {Tenant: "tenant", ID: "job"}} {
 		memory := storetest.NewMemory()
 		appendJobOf(t, memory, name)
 		t.Run("this build asks a coordinator of the earlier one, tenant "+name.Tenant, func(t *testing.T) {
-			for what, coordinator := range map[string]*earlierCoordinator{"that follows the job": {job: name.ID}, "that does not know it": {job: "other"}} {
+			for what, coordinator := range map[string]*earlierCoordinator{"follows the job": {job: name.ID}, "does not know the job": {job: "other"}} {
 				node := newReaderNode(t, memory)
 				node.observeCoordinator(false, nodecalltest.Serve(t, nodecalltest.Named("Jobs", coordinator)))
 				if _, results, verdict := node.results(ctx, name, 0, 0); verdict != VerdictDone || len(results) != 1 {
@@ -97,8 +94,8 @@
 			coordinator := newReaderNode(t, memory)
 			coordinator.jobs.Subscribe(ctx, 0, subscriber{})
 			address := serve(t, coordinator)
-			// A job that was accepted without a tenant is given; of one with a tenant nothing is said,
-			// since the question does not tell on whose behalf it is.
+			// A job without a tenant is returned. A job with a tenant is not, since the question
+			// doesn't say on whose behalf it is asked.
 			want := jobread.Found
 			if name.Tenant != "" {
 				want = jobread.NotFollowed
--- a/internal/frontend/jobreads_test.go
+++ b/internal/frontend/jobreads_test.go
@@ -18,7 +18,7 @@
 	"dalehook/internal/store/storetest"
 )
 
-// readerNode is a reader of jobs on a store in memory.
+// readerNode is a job reader on a store in memory.
 type readerNode struct {
 	*jobReader
 	sources []readSource
@@ -32,7 +32,7 @@
 	return node
 }
 
-// startReader returns a reader on a store with one partition, and what ends its reading.
+// startReader returns a reader on a store with one partition, and the function that stops it.
 func startReader(log store.Log, observe func(readSource)) (reader *jobReader, stop func()) {
 	jobs := joblog.NewLogs(joblog.Options{Log: log, Partitions: 1, Logger: zap.NewNop()})
 	ctx, cancel := context.WithCancel(context.Background())
@@ -47,7 +47,7 @@
 	}
 }
 
-// appendJob accepts a job with results for all of its items.
+// appendJob appends a job with results for all of its items.
 func appendJob(t *testing.T, memory *storetest.Memory, id string, results int) {
 	t.Helper()
 	job := &batch.Job{ID: id}
@@ -90,7 +90,7 @@
 	return listener
 }
 
-// serve has a node answer reads at the address returned.
+// serve registers a reader's calls on a server and returns its address.
 func serve(t testing.TB, reader jobread.Reader) string {
 	t.Helper()
 	return nodecalltest.Serve(t, func(server *rpc.Server) error { return jobread.Register(server, reader) })
@@ -102,9 +102,9 @@
 func (subscriber) HandleOpenFrom(int, int64)      {}
 func (subscriber) HandleFresh(int, time.Time)     {}
 
-// A coordinator that stands still, is gone, or does not follow the jobs, costs a read no more
-// than the time it takes to notice that.
-func TestAReadIsAnsweredWhateverTheCoordinatorDoes(t *testing.T) {
+// A read is answered in time whether the coordinator hangs, is gone, or doesn't follow the jobs: it
+// costs the read no more than the time to detect that.
+func TestReadIsAnsweredWhateverTheCoordinatorDoes(t *testing.T) {
 	memory := storetest.NewMemory()
 	appendJob(t, memory, "job", 3)
 	appendIndex(t, memory, "job", 0)
@@ -119,12 +119,12 @@
 		source        readSource
 		most          time.Duration
 	}{
-		{"nobody coordinates", "", sourceStore, time.Second},
-		{"has just begun", serve(t, beginner), sourceCoordinator, time.Second},
-		{"in order", serve(t, coordinator), sourceCoordinator, time.Second},
+		{"no coordinator", "", sourceStore, time.Second},
+		{"just started", serve(t, beginner), sourceCoordinator, time.Second},
+		{"healthy", serve(t, coordinator), sourceCoordinator, time.Second},
 		{"gone", gone.Addr().String(), sourceStore, time.Second},
-		{"stands still", listen(t).Addr().String(), sourceStore, passOnPatience + time.Second},
-		{"follows nothing", serve(t, newReaderNode(t, memory)), sourceStore, time.Second},
+		{"hangs", listen(t).Addr().String(), sourceStore, forwardTimeout + time.Second},
+		{"follows no jobs", serve(t, newReaderNode(t, memory)), sourceStore, time.Second},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -145,56 +145,57 @@
 	}
 }
 
-// A coordinator that did not answer is left alone for a while.
-func TestASilentCoordinatorIsNotAskedAgainAtOnce(t *testing.T) {
+// A coordinator that didn't answer isn't asked again until the backoff ends.
+func TestSilentCoordinatorIsNotAskedAgainAtOnce(t *testing.T) {
 	memory := storetest.NewMemory()
 	appendJob(t, memory, "job-1", 1)
 	appendJob(t, memory, "job-2", 1)
 	node := newReaderNode(t, memory)
 	node.observeCoordinator(false, listen(t).Addr().String())
 	node.results(context.Background(), batch.Name{ID: "job-1"}, 0, 0)
-	if address := node.answering(); address != "" {
-		t.Errorf("reads are still passed on to %s", address)
+	if address := node.forwardTarget(); address != "" {
+		t.Errorf("reads are still forwarded to %s", address)
 	}
 	node.observeCoordinator(false, "127.0.0.1:1")
-	if node.answering() == "" {
-		t.Error("reads are not passed on to the next coordinator")
+	if node.forwardTarget() == "" {
+		t.Error("reads are not forwarded to the next coordinator")
 	}
 }
 
-// Where a take-over may be under way, a job that the index does not hold is refused: to look
-// for it in the whole partition is the next coordinator's work.
-func TestAWholePartitionIsReadOnlyWhereNobodyElseDoes(t *testing.T) {
+// A read of a job that the index doesn't hold is refused while a takeover may be in progress:
+// searching the whole partition is the next coordinator's work.
+func TestWholePartitionIsReadOnlyWithoutACoordinator(t *testing.T) {
 	memory := storetest.NewMemory()
 	appendJob(t, memory, "job", 1)
 	node := newReaderNode(t, memory)
 	if _, _, verdict := node.results(context.Background(), batch.Name{ID: "job"}, 0, 0); verdict != VerdictRefused {
-		t.Errorf("while a coordinator may come: %v", verdict)
+		t.Errorf("during a possible takeover: %v", verdict)
 	}
-	node.seenAt = time.Now().Add(-takeOverTime)
+	node.seenAt = time.Now().Add(-takeoverTimeout)
 	if _, results, verdict := node.results(context.Background(), batch.Name{ID: "job"}, 0, 0); verdict != VerdictDone || len(results) != 1 {
-		t.Errorf("where none comes: %v, %d results", verdict, len(results))
+		t.Errorf("without a coordinator: %v, %d results", verdict, len(results))
 	}
 	if _, _, verdict := node.results(context.Background(), batch.Name{ID: "no such job"}, 0, 0); verdict != VerdictAbsent {
-		t.Errorf("a job that is not there: %v", verdict)
+		t.Errorf("a job that does not exist: %v", verdict)
 	}
 }
 
-// A coordinator that answers again after a silence is there: whole partitions are not read.
-func TestACoordinatorThatAnswersAgainIsThere(t *testing.T) {
+// A coordinator that answers again after a silence counts as present, so whole partitions aren't
+// read.
+func TestAnsweringCoordinatorEndsTheTakeoverTimeout(t *testing.T) {
 	memory := storetest.NewMemory()
 	follower := newReaderNode(t, memory)
 	node := newReaderNode(t, memory)
 	node.observeCoordinator(false, serve(t, follower))
-	node.failedAt = time.Now().Add(-2 * takeOverTime)
+	node.failedAt = time.Now().Add(-2 * takeoverTimeout)
 	node.seenAt = node.failedAt
 	if _, _, verdict := node.results(context.Background(), batch.Name{ID: "job"}, 0, 0); verdict != VerdictRefused {
 		t.Errorf("%v", verdict)
 	}
 }
 
-// An answer is held at the coordinator until there is a result.
-func TestAHeldReadEndsWithTheNextResult(t *testing.T) {
+// A long poll at the coordinator ends with the next result.
+func TestLongPollEndsWithTheNextResult(t *testing.T) {
 	memory := storetest.NewMemory()
 	appendJob(t, memory, "job", 1)
 	coordinator := newReaderNode(t, memory)
@@ -231,11 +232,11 @@
 	}
 }
 
-func TestAPageIsCut(t *testing.T) {
+func TestLimitResults(t *testing.T) {
 	results := []batch.Result{{Text: "aaaa"}, {Text: "bb"}, {Text: "cc"}}
 	for most, want := range map[int]int{0: 1, 5: 1, 6: 2, 100: 3} {
-		if got := len(cutResults(results, most)); got != want {
-			t.Errorf("%d of at most %d bytes, not %d", got, most, want)
+		if got := len(limitResults(results, most)); got != want {
+			t.Errorf("%d results within %d bytes, want %d", got, most, want)
 		}
 	}
 }
--- a/internal/frontend/largeconfig_test.go
+++ b/internal/frontend/largeconfig_test.go
@@ -14,8 +14,8 @@
 	"dalehook/internal/store"
 )
 
-// Configurations of a large fleet as operators write them, and one that can not be made smaller by any means: what a
-// fleet is told in time must not hang on what a configuration holds.
+// largeConfigurations returns a large configuration as operators write them, and one that can't be
+// compressed: the time to distribute a configuration must not depend on its contents.
 func largeConfigurations() map[string][]byte {
 	random := rand.New(rand.NewPCG(1, 2))
 	name := func() string { return fmt.Sprintf("%016x%016x", random.Uint64(), random.Uint64()) }
@@ -28,17 +28,17 @@
 	for i := range noise {
 		noise[i] = byte(random.Uint32())
 	}
-	return map[string][]byte{"routes with names of their own": []byte(routes.String()), "noise": noise}
+	return map[string][]byte{"routes with distinct names": []byte(routes.String()), "noise": noise}
 }
 
-// A fleet that is played with large configurations.
+// largeFleet is a fleet for tests with large configurations.
 type largeFleet struct {
 	t *testing.T
 	*fleetOfNodes
 	end func()
 }
 
-// startLargeFleet starts a fleet before a store that holds a value already, nil for none.
+// startLargeFleet starts a fleet on a store that already holds a value, nil for none.
 func startLargeFleet(t *testing.T, nodes int, first []byte) *largeFleet {
 	ctx, cancel := context.WithCancel(context.Background())
 	running := &sync.WaitGroup{}
@@ -49,34 +49,34 @@
 
 func (f *largeFleet) putValue(value []byte) { f.store.memory.Put(store.TopicOperator, "config", value) }
 
-// without returns how many of the nodes that run do not know a value.
-func (f *largeFleet) without(value []byte) int {
+// countMissing returns the number of running nodes that don't have a value.
+func (f *largeFleet) countMissing(value []byte) int {
 	count := 0
 	for _, node := range f.nodes {
 		node.mutex.Lock()
 		if !node.stopped && !bytes.Equal(node.value, value) {
 			count++
 		}
-		if node.wentBack {
-			f.t.Error("a node went back to what was put before")
+		if node.regressed {
+			f.t.Error("a node went back to an older value")
 		}
 		node.mutex.Unlock()
 	}
 	return count
 }
 
-// expect checks that all nodes know a value within a time, and logs when they did.
-func (f *largeFleet) expect(value []byte, within time.Duration) {
+// expectWithin checks that all nodes have a value within a time, and logs when they did.
+func (f *largeFleet) expectWithin(value []byte, within time.Duration) {
 	f.t.Helper()
 	began := time.Now()
-	for time.Since(began) < within && f.without(value) > 0 {
+	for time.Since(began) < within && f.countMissing(value) > 0 {
 		time.Sleep(50 * time.Millisecond)
 	}
-	if without := f.without(value); without > 0 {
-		f.t.Errorf("%d of %d nodes do not know it after %v", without, len(f.nodes), within)
+	if without := f.countMissing(value); without > 0 {
+		f.t.Errorf("%d of %d nodes do not have the value after %v", without, len(f.nodes), within)
 		return
 	}
-	f.t.Logf("known to all %d nodes after %v", len(f.nodes), time.Since(began))
+	f.t.Logf("all %d nodes have the value after %v", len(f.nodes), time.Since(began))
 }
 
 func (f *largeFleet) coordinator() *fleetNode {
@@ -85,7 +85,7 @@
 			return node
 		}
 	}
-	f.t.Fatal("nobody coordinates")
+	f.t.Fatal("no node holds the lease")
 	return nil
 }
 
@@ -96,8 +96,8 @@
 	n.stop()
 }
 
-// Seen: as for TestALargeConfigurationReachesAWholeFleet, whose configuration any compression makes small; here it is
-// one that can be made half as large, and one that can not be made smaller.
+// Like TestALargeConfigurationReachesAWholeFleet, whose configuration compresses to almost nothing,
+// but with one that compresses to half its size and one that doesn't compress.
 func TestALargeConfigurationReachesAWholeFleetWhateverItHolds(t *testing.T) {
 	for _, nodes := range []int{wholeFleetNodes, 2 * wholeFleetNodes} {
 		for name, value := range largeConfigurations() {
@@ -106,25 +106,25 @@
 					f := startLargeFleet(t, nodes, []byte("first"))
 					defer f.end()
 					time.Sleep(8 * time.Second)
-					t.Log("put while all is well")
+					t.Log("put without an outage")
 					f.putValue(value)
-					f.expect(value, applyWithin)
-					f.store.strike(outageRefuses, func(int) bool { return true })
+					f.expectWithin(value, largeApplyTimeout)
+					f.store.setOutage(outageRefuses, func(int) bool { return true })
 					time.Sleep(time.Second)
 					changed := append([]byte("x"), value...)
 					f.putValue(changed)
 					time.Sleep(2 * time.Second)
 					t.Log("put during an outage")
-					f.store.strike(outageRefuses, nil)
-					f.expect(changed, applyWithin)
+					f.store.setOutage(outageRefuses, nil)
+					f.expectWithin(changed, largeApplyTimeout)
 				})
 			})
 		}
 	}
 }
 
-// A configuration that is put as the coordinator is lost, which alone reads it for all, is known in time: by its
-// successor, or by each node's own reading.
+// A configuration that is put shortly before the coordinator, which alone reads it for all, is lost
+// still arrives in time, from its successor or by each node's own read.
 func TestALargeConfigurationThatIsPutAsTheCoordinatorIsLost(t *testing.T) {
 	value := largeConfigurations()["noise"]
 	for _, before := range []time.Duration{0, 5 * time.Millisecond, 100 * time.Millisecond, 400 * time.Millisecond} {
@@ -136,25 +136,26 @@
 				f.putValue(value)
 				time.Sleep(before)
 				f.coordinator().kill()
-				f.expect(value, applyWithin)
+				f.expectWithin(value, largeApplyTimeout)
 			})
 		})
 	}
 }
 
-// A fleet all of whose nodes start at once knows a large configuration as soon as the store can have sent it to each.
+// When all nodes of a fleet start at once, each has a large configuration as soon as the store's
+// bandwidth allows.
 func TestAWholeFleetStartsWithALargeConfiguration(t *testing.T) {
 	value := largeConfigurations()["noise"]
 	synctest.Test(t, func(t *testing.T) {
 		f := startLargeFleet(t, wholeFleetNodes, value)
 		defer f.end()
-		toAll := time.Duration(float64(wholeFleetNodes*len(value)) / bytesPerSecond * float64(time.Second))
-		f.expect(value, toAll+time.Second)
+		toAll := time.Duration(float64(wholeFleetNodes*len(value)) / storeBytesPerSecond * float64(time.Second))
+		f.expectWithin(value, toAll+time.Second)
 	})
 }
 
-// Nodes that the store turns away know a large configuration in time as well, whether the coordinator is among them
-// or not.
+// Nodes that the store doesn't answer get a large configuration in time as well, whether the
+// coordinator is among them or not.
 func TestALargeConfigurationReachesNodesThatTheStoreTurnsAway(t *testing.T) {
 	value := largeConfigurations()["noise"]
 	for _, kind := range []outage{outageRefuses, outageSilent} {
@@ -165,14 +166,14 @@
 					defer f.end()
 					time.Sleep(8 * time.Second)
 					coordinator := f.coordinator()
-					f.store.strike(kind, func(node int) bool {
+					f.store.setOutage(kind, func(node int) bool {
 						if f.nodes[node] == coordinator {
 							return withCoordinator
 						}
 						return node%3 == 0
 					})
 					f.putValue(value)
-					f.expect(value, applyWithin)
+					f.expectWithin(value, largeApplyTimeout)
 				})
 			})
 		}
--- a/internal/frontend/metrics.go
+++ b/internal/frontend/metrics.go
@@ -19,10 +19,10 @@
 	"dalehook/internal/scheduler"
 )
 
-// latencyBuckets are the bounds of the histograms, in seconds.
+// latencyBuckets are the upper bounds of the histogram buckets, in seconds.
 var latencyBuckets = []float64{0.005, 0.01, 0.025, 0.05, 0.1, 0.15, 0.25, 0.5, 1, 2.5, 5, 10}
 
-// nodeMetrics counts what the logs tell. Its labels have few values each.
+// nodeMetrics holds the node's Prometheus metrics. Each label has few values.
 type nodeMetrics struct {
 	registry          *prometheus.Registry
 	requests          *prometheus.CounterVec
@@ -53,7 +53,7 @@
 	_ crashwatch.Observer  = (*nodeMetrics)(nil)
 )
 
-func newNodeMetrics(n *Node, lostLines func() int64) *nodeMetrics {
+func newNodeMetrics(n *Node, droppedLines func() int64) *nodeMetrics {
 	counter := func(name, help string, labels ...string) *prometheus.CounterVec {
 		return prometheus.NewCounterVec(prometheus.CounterOpts{Name: name, Help: help}, labels)
 	}
@@ -99,12 +99,12 @@
 	m.registry.MustRegister(m.requests, m.requestSeconds, m.attempts, m.jobCalls, m.jobReads, m.jobReadsMisread, m.itemAttempts, m.results, m.loads,
 		m.rewardCalls, m.rewardSeconds, m.storeCalls, m.storeSeconds, m.keysRefused, m.usageReports, m.usageLost, m.serverOrders, m.requestsPastGrace,
 		m.serverEnds, m.requestsSuspected, m.requestsHeld, collectors.NewGoCollector())
-	m.registerGauges(n, lostLines)
+	m.registerGauges(n, droppedLines)
 	return m
 }
 
-// registerGauges adds what is read when the page is asked for.
-func (m *nodeMetrics) registerGauges(n *Node, lostLines func() int64) {
+// registerGauges registers the gauges that are evaluated at each scrape.
+func (m *nodeMetrics) registerGauges(n *Node, droppedLines func() int64) {
 	gauge := func(name, help string, read func() float64) {
 		m.registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: name, Help: help}, read))
 	}
@@ -130,9 +130,9 @@
 	gauge("dalehook_servers_way", "How the list of servers comes: 0 none is known, 1 heartbeats, 2 the relay.", func() float64 {
 		return float64(n.servers.Way())
 	})
-	gauge("dalehook_ready", "1 while the node wants new connections.", func() float64 { return truth(n.Ready()) })
+	gauge("dalehook_ready", "1 while the node wants new connections.", func() float64 { return boolValue(n.Ready()) })
 	gauge("dalehook_coordinator", "1 while the node coordinates the batch jobs.", func() float64 {
-		return truth(n.coordinator.State().Leading)
+		return boolValue(n.coordinator.State().Leading)
 	})
 	gauge("dalehook_open_jobs", "Open batch jobs, at the coordinator.", func() float64 { return float64(n.coordinator.State().Open) })
 	gauge("dalehook_running_items", "Items that run, at the coordinator.", func() float64 { return float64(n.coordinator.State().Running) })
@@ -141,13 +141,13 @@
 		return float64(n.coordinator.State().Unscored)
 	})
 	gauge("dalehook_held_requests", "Requests that are held since they crash servers.", func() float64 { return float64(n.quarantine.Held()) })
-	if lostLines != nil {
-		gauge("dalehook_log_lines_lost", "Log lines that were lost since the start.", func() float64 { return float64(lostLines()) })
+	if droppedLines != nil {
+		gauge("dalehook_log_lines_lost", "Log lines that were lost since the start.", func() float64 { return float64(droppedLines()) })
 	}
 }
 
-func truth(holds bool) float64 {
-	if holds {
+func boolValue(value bool) float64 {
+	if value {
 		return 1
 	}
 	return 0
@@ -164,7 +164,8 @@
 	m.attempts.Add(float64(outcome.Attempts))
 }
 
-// reasonClass cuts a reason to its first words, so that there are few.
+// reasonClass returns the part of a reason before the first colon, to limit the number of label
+// values.
 func reasonClass(reason string) string {
 	class, _, _ := strings.Cut(reason, ":")
 	return class
@@ -214,10 +215,11 @@
 
 func (m *nodeMetrics) observeStore(call string, status int, took time.Duration) {
 	m.storeCalls.WithLabelValues(call, strconv.Itoa(status)).Inc()
-	if call != callThatWaits {
+	if call != longPollCall {
 		m.storeSeconds.WithLabelValues(call).Observe(took.Seconds())
 	}
 }
 
-// callThatWaits is the call whose time says nothing of the store.
-const callThatWaits = "read"
+// longPollCall is the call that is left out of the latency histogram, since a long poll's duration
+// isn't the store's latency.
+const longPollCall = "read"
--- a/internal/frontend/node.go
+++ b/internal/frontend/node.go
@@ -36,37 +36,38 @@
 	"dalehook/internal/usage"
 )
 
-// Adapter is how a node speaks to what stands around it.
+// Adapter connects a node to the platform: callers, the store, back ends and the provider.
 type Adapter interface {
-	// Requests is the handler of the callers' address.
+	// Requests returns the handler of the address that serves callers.
 	Requests(node *Node) http.Handler
-	// Readiness is the handler of the readiness address.
+	// Readiness returns the handler of the readiness address.
 	Readiness(node *Node) http.Handler
 	Log() store.Log
 	Backend() gateway.Backend
-	// Probe finds out whether anything takes connections at a server's address.
+	// Probe checks whether a server's address accepts connections.
 	Probe(ctx context.Context, address string) crashwatch.Reach
 	Engines() coordinator.Engines
-	// Provider is called only where the settings name one.
+	// Provider is called only if the settings have a provider.
 	Provider() Provider
-	// Table decodes the record of the operator's topic that holds the
-	// configuration; it returns nil for a record that does not.
+	// Table decodes the record of the operator topic that holds the configuration. It returns nil
+	// for other records.
 	Table(record store.Record) (*routetable.Table, error)
-	// Version decodes the record that names a model's newest weight version.
+	// Version decodes the record with a model's newest weight version.
 	Version(record store.Record) (model string, version int64, ok bool)
-	// Evacuation decodes the record that has a zone evacuated, or takes that back.
+	// Evacuation decodes the record that evacuates a zone or cancels the evacuation.
 	Evacuation(record store.Record) (zone string, evacuated, ok bool)
-	// Server decodes the record of a server.
+	// Server decodes a record of the topic of servers.
 	Server(record store.Record) (directory.Server, error)
-	// ServerDigest tells the entries of a server apart without what every heartbeat
-	// changes.
+	// ServerDigest returns a digest of a server's record without the parts that change with every
+	// heartbeat.
 	ServerDigest(value []byte) uint64
-	// ObserveStore sets what is told of each call to the store: its name, the
-	// status of its answer, 0 for none, and the time it took.
+	// ObserveStore sets the function that is called after each call to the store, with the call's
+	// name, the status of the answer, 0 for none, and the time it took.
 	ObserveStore(observe func(call string, status int, took time.Duration))
 }
 
-// Provider is the service that takes reports and orders from the holder of the lease.
+// Provider is the external service that receives usage reports and scaling orders from the holder
+// of the lease.
 type Provider interface {
 	usage.Provider
 	scaling.Provider
@@ -76,37 +77,39 @@
 type Options struct {
 	Settings *Settings
 	Adapter  Adapter
-	// LostLines returns the number of log lines that were lost; it may be nil.
-	LostLines func() int64
-	// Incarnation tells this process from earlier ones of the same node.
+	// DroppedLines returns the number of log lines that were dropped; it may be nil.
+	DroppedLines func() int64
+	// Incarnation distinguishes this process from earlier ones of the same node.
 	Incarnation string
-	// TimeOfDay tells the machine's time of day; nil stands for that of package clock.
+	// TimeOfDay returns the wall clock time; nil means that of package clock.
 	TimeOfDay func() time.Time
 	Logger    *zap.Logger
 }
 
-// The timing of a node.
+// Timing and limits of a node.
 const (
-	// listPace is the shortest time between two reads of the list of servers, whose
-	// heartbeats come all the time; listWait is how long a read waits for news.
-	listPace = 200 * time.Millisecond
-	listWait = 500 * time.Millisecond
-	// operatorPace and operatorWait are the same for what operators and trainers put.
-	operatorPace = 30 * time.Millisecond
-	operatorWait = time.Second
-	// leaveNotice is how long a leaving node serves after it called itself not
-	// ready, so that new connections go elsewhere.
-	leaveNotice = 2700 * time.Millisecond
-	// leaveReserve is kept from the grace period for the end of the process.
-	leaveReserve = 1200 * time.Millisecond
-	// headerTimeout, idleTimeout and headerBytes bound callers while nothing is
-	// known of the configuration's limits, which may be narrower or wider. What
-	// the configuration says of sizes is checked for each request.
-	headerTimeout = 10 * time.Second
-	idleTimeout   = 2 * time.Minute
-	headerBytes   = 1 << 20
-	// forgetInterval is the time between two sweeps of what was seen of servers.
-	forgetInterval = 5 * time.Second
+	// listMinInterval is the minimum time between two reads of the list of servers, which changes
+	// with every heartbeat; listPollWait is how long a read polls for changes.
+	listMinInterval = 200 * time.Millisecond
+	listPollWait    = 500 * time.Millisecond
+	// operatorMinInterval and operatorPollWait are the same for the operator topic, which operators
+	// and trainers write.
+	operatorMinInterval = 30 * time.Millisecond
+	operatorPollWait    = time.Second
+	// drainNotice is how long a node that shuts down still accepts connections after it reports
+	// itself as not ready, so that load balancers can take it out.
+	drainNotice = 2700 * time.Millisecond
+	// exitReserve is the part of the grace period that is kept for the exit of the process.
+	exitReserve = 1200 * time.Millisecond
+	// defaultHeaderTimeout, defaultIdleTimeout and defaultMaxHeaderBytes limit callers' connections
+	// independently of the configuration, which isn't known yet when the listeners open. Its limits
+	// may be lower or higher; those on sizes are checked for each request.
+	defaultHeaderTimeout  = 10 * time.Second
+	defaultIdleTimeout    = 2 * time.Minute
+	defaultMaxHeaderBytes = 1 << 20
+	// cleanupInterval is the time between two runs that drop the gateway's state of servers that
+	// are no longer listed.
+	cleanupInterval = 5 * time.Second
 )
 
 // Node is one process of the service.
@@ -115,20 +118,21 @@
 	logger  *zap.Logger
 	table   atomic.Pointer[routetable.Table]
 	metrics *nodeMetrics
-	// operatorReadAt is when the store last answered what the newest configuration is.
-	operatorReadAt moment
-	// operatorGuide says where this node reads what operators put, operatorSource holds it for other nodes.
+	// operatorReadAt is when the store last confirmed the newest configuration.
+	operatorReadAt latestTime
+	// operatorGuide decides where this node reads the operator topic; operatorSource keeps the
+	// topic's records for other nodes.
 	operatorGuide  *fanout.Guide
 	operatorSource *fanout.Source
-	// storeAnsweredAt is when the store last carried out any call of this node.
-	storeAnsweredAt moment
-	// configuredAt is when the store was asked, by this node or another, for what was
-	// answered last of the newest configuration.
-	configuredAt moment
+	// storeAnsweredAt is when any call of this node to the store last succeeded.
+	storeAnsweredAt latestTime
+	// configuredAt is when this node, or the one that relayed the answer, sent the request to the
+	// store whose answer last confirmed the newest configuration.
+	configuredAt latestTime
 	leaving      atomic.Bool
-	left         chan struct{}
+	leave        chan struct{}
 	directory    *directory.Directory
-	// zones are those that the operator has evacuated.
+	// zones tracks the evacuated zones.
 	zones       evacuatedZones
 	servers     *serverlist.List
 	gateway     *gateway.Gateway
@@ -137,30 +141,31 @@
 	jobs        *joblog.Logs
 	jobReader   *jobReader
 	coordinator *coordinator.Coordinator
-	// hold is what is known of the lease while this process holds it.
-	hold election.Hold
-	// peers are the nodes that coordinated last, or asked this one whether it does.
+	// leaseHold is the state of the lease while this process holds it.
+	leaseHold election.Hold
+	// peers are the last known coordinators, and the nodes that last asked this one whether it
+	// holds the lease.
 	peers storeproxy.Peers
-	// standing is this process's place in the election; nil before it is known.
+	// standing is this process's state in the election; nil until known.
 	standing atomic.Pointer[election.Standing]
-	// usageSender and usageReporter are nil where no usage is reported.
+	// usageSender and usageReporter are nil if usage isn't reported.
 	usageSender   *usage.Sender
 	usageReporter *usage.Reporter
-	// scaling is nil where no servers are ordered.
+	// scaling is nil if the node doesn't order servers.
 	scaling *scaling.Driver
 }
 
-// NewNode assembles a node.
+// NewNode wires up a node. Run starts it.
 func NewNode(options Options) *Node {
 	adapter, logger := options.Adapter, options.Logger
-	n := &Node{options: options, logger: logger.Named("node"), left: make(chan struct{}), directory: directory.NewDirectory(), startedAt: clock.Now()}
+	n := &Node{options: options, logger: logger.Named("node"), leave: make(chan struct{}), directory: directory.NewDirectory(), startedAt: clock.Now()}
 	n.operatorGuide, n.operatorSource = n.newOperatorGuide(), fanout.NewSource()
-	n.metrics = newNodeMetrics(n, options.LostLines)
+	n.metrics = newNodeMetrics(n, options.DroppedLines)
 	n.quarantine = n.newQuarantine(logger)
-	n.zones = evacuatedZones{directory: n.directory, changed: n.observeServers, logger: n.logger}
+	n.zones = evacuatedZones{directory: n.directory, onChange: n.notifyServersChanged, logger: n.logger}
 	n.gateway = gateway.NewGateway(gateway.Options{
 		Backend: adapter.Backend(), Directory: n.directory, Node: options.Settings.Node, Zone: options.Settings.Zone, Quarantine: n.quarantine,
-		Logger: logger.Named("gateway"), Observe: n.metrics.observeRequest, Began: n.noteBegan,
+		Logger: logger.Named("gateway"), Observe: n.metrics.observeRequest, Began: n.countStarted,
 	})
 	adapter.ObserveStore(n.observeStore)
 	n.jobs = joblog.NewLogs(joblog.Options{
@@ -168,10 +173,10 @@
 	})
 	n.jobReader = newJobReader(n.jobs, n.metrics.observeJobRead, n.metrics.jobReadsMisread.Inc, logger.Named("jobs"))
 	n.servers = serverlist.New(serverlist.Options{
-		Log: adapter.Log(), Directory: n.directory, Logger: logger.Named("servers"), Pace: listPace, Wait: listWait,
+		Log: adapter.Log(), Directory: n.directory, Logger: logger.Named("servers"), Pace: listMinInterval, Wait: listPollWait,
 		Decode: adapter.Server, Digest: adapter.ServerDigest,
-		Self: n.process(), Leading: func() bool { return n.coordinator.State().Leading },
-		Established: n.coordinatorEstablished, Changed: n.observeServers, Shared: n.sharedServices, LeaveBound: time.Duration(options.Settings.LeaveBoundMs) * time.Millisecond,
+		Self: n.processID(), Leading: func() bool { return n.coordinator.State().Leading },
+		Established: n.coordinatorEstablished, Changed: n.notifyServersChanged, Shared: n.sharedServices, LeaveBound: time.Duration(options.Settings.LeaveBoundMs) * time.Millisecond,
 	})
 	n.coordinator = coordinator.New(coordinator.Options{
 		Engines: adapter.Engines(), Quarantine: n.quarantine, Rewards: &rewardCaller{gateway: n.gateway, logger: logger.Named("reward")}, Log: adapter.Log(), Jobs: n.jobs, Directory: n.directory,
@@ -185,7 +190,7 @@
 	return n
 }
 
-// Run serves until the context ends, or until Leave has been carried out.
+// Run serves until the context ends, a listener fails, or the shutdown begun by Leave is complete.
 func (n *Node) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -195,22 +200,22 @@
 	}
 	internal, err := net.Listen("tcp", n.options.Settings.Listen.Internal)
 	if err != nil {
-		return fmt.Errorf("listen for other nodes: %w", err)
+		return fmt.Errorf("listen on the internal address: %w", err)
 	}
 	defer internal.Close()
 	var background conc.WaitGroup
 	calls := rpc.NewServer()
-	if err := errors.Join(liveness.Register(calls, n.process(), n), jobread.Register(calls, n.jobReader), usage.Register(calls, n.options.Adapter.Log()),
+	if err := errors.Join(liveness.Register(calls, n.processID(), n), jobread.Register(calls, n.jobReader), usage.Register(calls, n.options.Adapter.Log()),
 		storeproxy.Register(calls, storeproxy.NewProxy(n.options.Adapter.Log(), &n.peers)), crashwatch.Register(calls, n.quarantine), nodestatus.Register(calls, n),
 		fanout.Register(calls, n.operatorSource)); err != nil {
 		return err
 	}
 	background.Go(func() {
 		if err := nodecall.Serve(internal, calls); err != nil {
-			n.logger.Error("nodes are not answered", zap.Error(err))
+			n.logger.Error("the internal listener failed", zap.Error(err))
 		}
 	})
-	n.start(ctx, &background)
+	n.startBackground(ctx, &background)
 	failed := make(chan error, len(servers))
 	for _, s := range servers {
 		background.Go(func() { failed <- s.serve() })
@@ -220,8 +225,8 @@
 	select {
 	case <-ctx.Done():
 	case err = <-failed:
-	case <-n.left:
-		n.finish(servers)
+	case <-n.leave:
+		n.drainAll(servers)
 	}
 	cancel()
 	for _, s := range servers {
@@ -233,10 +238,11 @@
 	return err
 }
 
-// start runs what follows the store.
-func (n *Node) start(ctx context.Context, background *conc.WaitGroup) {
+// startBackground starts the goroutines that read the store, take part in the election and act on
+// the lease.
+func (n *Node) startBackground(ctx context.Context, background *conc.WaitGroup) {
 	log := n.options.Adapter.Log()
-	background.Go(func() { follow.Keyed(ctx, n.operatorFollowing(log)) })
+	background.Go(func() { follow.Keyed(ctx, n.operatorFollowOptions(log)) })
 	background.Go(func() { clock.Watch(ctx, n.logger) })
 	background.Go(func() { n.servers.Run(ctx) })
 	background.Go(func() { n.quarantine.Run(ctx) })
@@ -244,12 +250,12 @@
 	background.Go(func() { n.coordinator.Run(ctx) })
 	background.Go(func() {
 		election.Run(ctx, election.Options{
-			Log: log, Self: n.process(), Address: n.options.Settings.Listen.Internal, Timing: leaseTiming(n.options.Settings), Ask: n.askHolder,
-			Hold:   &n.hold,
-			Logger: n.options.Logger.Named("election"), Observe: n.observeLease, Leaving: n.left, News: n.operatorNews,
+			Log: log, Self: n.processID(), Address: n.options.Settings.Listen.Internal, Timing: leaseTiming(n.options.Settings), Ask: n.probeHolder,
+			Hold:   &n.leaseHold,
+			Logger: n.options.Logger.Named("election"), Observe: n.observeLease, Leaving: n.leave, News: n.operatorNews,
 		})
 	})
-	background.Go(func() { n.sweep(ctx) })
+	background.Go(func() { n.cleanUp(ctx) })
 	if n.usageSender != nil {
 		background.Go(func() { n.usageSender.Run(ctx) })
 		background.Go(func() { n.usageReporter.Run(ctx) })
@@ -259,9 +265,9 @@
 	}
 }
 
-// sharedServices returns which services all nodes send requests to: not the pools of engines that no
-// route for single requests names, since batch jobs are run by the coordinator alone. It returns nil
-// while no configuration is known.
+// sharedServices returns a predicate for the services to which every node sends requests. Engine
+// pools that no route for single requests names are left out, since only the coordinator runs batch
+// jobs. It returns nil while no configuration is known.
 func (n *Node) sharedServices() func(service string) bool {
 	table := n.table.Load()
 	if table == nil {
@@ -270,7 +276,7 @@
 	return table.ServesSingle
 }
 
-// warmingServers returns how many of the listed servers are slow since they started.
+// warmingServers returns the number of listed servers that are still warming up.
 func (n *Node) warmingServers(now time.Time) int {
 	count := 0
 	n.directory.Snapshot().All(func(server *directory.Server) {
@@ -281,11 +287,11 @@
 	return count
 }
 
-// process names this process unlike any other.
-func (n *Node) process() string { return n.options.Settings.Node + "/" + n.options.Incarnation }
+// processID returns an identifier of this process that no other process has.
+func (n *Node) processID() string { return n.options.Settings.Node + "/" + n.options.Incarnation }
 
-func (n *Node) sweep(ctx context.Context) {
-	ticker := time.NewTicker(forgetInterval)
+func (n *Node) cleanUp(ctx context.Context) {
+	ticker := time.NewTicker(cleanupInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -321,35 +327,36 @@
 			return nil, fmt.Errorf("listen on %s: %w", address, err)
 		}
 		bound = append(bound, boundServer{address: address, listener: listener, server: drain.NewServer(drain.Options{HTTP: &http.Server{
-			Handler: handler, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: headerBytes,
+			Handler: handler, ReadHeaderTimeout: defaultHeaderTimeout, IdleTimeout: defaultIdleTimeout, MaxHeaderBytes: defaultMaxHeaderBytes,
 			ErrorLog: zap.NewStdLog(n.options.Logger.Named("http").WithOptions(zap.IncreaseLevel(zap.ErrorLevel))),
 		}})})
 	}
 	return bound, nil
 }
 
-// Leave begins a planned stop; it returns at once.
+// Leave begins a graceful shutdown and returns at once.
 func (n *Node) Leave() {
 	if n.leaving.CompareAndSwap(false, true) {
 		n.logger.Info("leaving")
 		n.coordinator.Resign()
-		close(n.left)
+		close(n.leave)
 	}
 }
 
-// finish serves what is under way, within the grace period.
-func (n *Node) finish(servers []boundServer) {
-	ends := time.Now().Add(time.Duration(n.options.Settings.GraceSeconds*float64(time.Second)) - leaveReserve)
+// drainAll serves the requests in flight on all listeners until the grace period ends, then flushes
+// the usage counts.
+func (n *Node) drainAll(servers []boundServer) {
+	deadline := time.Now().Add(time.Duration(n.options.Settings.GraceSeconds*float64(time.Second)) - exitReserve)
 	for _, s := range servers {
 		s.server.Leave()
 	}
-	time.Sleep(leaveNotice)
-	ctx, cancel := context.WithDeadline(context.Background(), ends)
+	time.Sleep(drainNotice)
+	ctx, cancel := context.WithDeadline(context.Background(), deadline)
 	defer cancel()
-	// Each listener has the whole time: what one waits for is not taken from the others.
+	// The listeners drain in parallel: a slow one must not use up the others' time.
 	var drains conc.WaitGroup
 	for _, s := range servers {
-		drains.Go(func() { n.drain(ctx, s) })
+		drains.Go(func() { n.drainServer(ctx, s) })
 	}
 	drains.Wait()
 	if n.usageSender != nil {
@@ -359,18 +366,19 @@
 	}
 }
 
-// drain serves what is under way at a listener.
-func (n *Node) drain(ctx context.Context, s boundServer) {
+// drainServer serves the requests in flight on one listener.
+func (n *Node) drainServer(ctx context.Context, s boundServer) {
 	began := clock.Now()
 	late := s.server.Drain(ctx)
 	n.logger.Info("drained", zap.String("address", s.address), zap.Duration("took", clock.Since(began)), zap.Int("late", late))
 	if late > 0 {
 		n.metrics.requestsPastGrace.Add(float64(late))
-		n.logger.Warn("requests ended by the end of the grace period", zap.String("address", s.address), zap.Int("late", late))
+		n.logger.Warn("requests cancelled at the end of the grace period", zap.String("address", s.address), zap.Int("late", late))
 	}
 }
 
-// replaceOperator takes the newest record of each key: what is not among them was taken back.
+// replaceOperator handles a complete read of the operator topic: the newest record of each key. An
+// evacuation that isn't among them was cancelled.
 func (n *Node) replaceOperator(records []store.Record) {
 	n.zones.clear()
 	n.handleOperator(records)
@@ -390,15 +398,15 @@
 		}
 		table, err := n.options.Adapter.Table(record)
 		if err != nil {
-			n.logger.Error("configuration void", zap.Int64("offset", record.Offset), zap.Error(err))
+			n.logger.Error("configuration not decoded", zap.Int64("offset", record.Offset), zap.Error(err))
 			continue
 		}
-		n.adopt(table)
+		n.applyTable(table)
 	}
 }
 
-// adopt puts a configuration in force unless a newer one is.
-func (n *Node) adopt(table *routetable.Table) {
+// applyTable puts a configuration in force unless a newer one is already.
+func (n *Node) applyTable(table *routetable.Table) {
 	if table == nil {
 		return
 	}
--- a/internal/frontend/operatorfollow_test.go
+++ b/internal/frontend/operatorfollow_test.go
@@ -10,9 +10,9 @@
 	"dalehook/internal/store"
 )
 
-// A coordinator tells the others how far the operator's topic goes in a large fleet alone, and not where nodes refuse
-// keys that they are not sure of.
-func TestWhenACoordinatorTells(t *testing.T) {
+// A coordinator announces how far the operator topic goes only in a large fleet, and not with
+// fail_closed.
+func TestCoordinatorAnnouncesOnlyInLargeFleets(t *testing.T) {
 	cases := []struct {
 		name              string
 		servers           int
@@ -21,8 +21,8 @@
 	}{
 		{"a large fleet", serverlist.DefaultLargeFleet, false, true, true},
 		{"a small fleet", serverlist.DefaultLargeFleet - 1, false, true, false},
-		{"a large fleet that refuses old keys", serverlist.DefaultLargeFleet, true, true, false},
-		{"a coordinator that has not read it", serverlist.DefaultLargeFleet, false, false, false},
+		{"a large fleet with fail_closed", serverlist.DefaultLargeFleet, true, true, false},
+		{"a coordinator that has not read the topic", serverlist.DefaultLargeFleet, false, false, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/frontend/outage_test.go
+++ b/internal/frontend/outage_test.go
@@ -10,16 +10,16 @@
 )
 
 const (
-	// backWithin is how long after an outage the lease is held again and a small configuration
-	// that was put meanwhile is known at all nodes.
-	backWithin = 2 * time.Second
-	// applyWithin is the same for a large configuration, which takes 1.6 s to go out to all:
-	// what the platform allows for a configuration to be in force.
-	applyWithin = 4 * time.Second
+	// recoveryTimeout is the time after an outage within which the lease is held again and all
+	// nodes have a small configuration that was put during the outage.
+	recoveryTimeout = 2 * time.Second
+	// largeApplyTimeout is the same for a large configuration, which takes 1.6 s to send to all
+	// nodes. It is the platform's limit for a configuration to take effect.
+	largeApplyTimeout = 4 * time.Second
 )
 
-// After an outage of the store, for all nodes or for a share of them, the lease is held soon,
-// and a configuration that was put meanwhile is known everywhere.
+// After an outage of the store for all or some of the nodes, the lease is soon held again, and all
+// nodes have a configuration that was put during the outage.
 func TestAFleetIsBackSoonAfterAnOutage(t *testing.T) {
 	all := func(int) bool { return true }
 	third := func(node int) bool { return node%3 == 0 }
@@ -39,34 +39,36 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { playOutage(t, fleetNodes, c.kind, c.struck, c.lasts, sizeSmall, backWithin) })
+			synctest.Test(t, func(t *testing.T) { testOutage(t, fleetNodes, c.kind, c.struck, c.lasts, sizeSmall, recoveryTimeout) })
 		})
 		t.Run(c.name+", whole fleet", func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { playOutage(t, wholeFleetNodes, c.kind, c.struck, c.lasts, sizeSmall, backWithin) })
+			synctest.Test(t, func(t *testing.T) {
+				testOutage(t, wholeFleetNodes, c.kind, c.struck, c.lasts, sizeSmall, recoveryTimeout)
+			})
 		})
 		t.Run(c.name+", large configuration", func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { playOutage(t, fleetNodes, c.kind, c.struck, c.lasts, sizeLarge, applyWithin) })
+			synctest.Test(t, func(t *testing.T) { testOutage(t, fleetNodes, c.kind, c.struck, c.lasts, sizeLarge, largeApplyTimeout) })
 		})
 	}
 }
 
-// applyDuringOutage is within what time a configuration, and so the withdrawal of a key, is known
-// at all nodes while the store turns a share of them away: what the platform allows.
-const applyDuringOutage = 3 * time.Second
+// outageApplyTimeout is the platform's limit for a configuration, and so for the revocation of a
+// key, to reach all nodes while the store doesn't answer some of them.
+const outageApplyTimeout = 3 * time.Second
 
-// While the store turns a share of the nodes away, be the coordinator among them or not, all
-// nodes come to know what the operator puts.
+// While the store doesn't answer some of the nodes, with or without the coordinator among them, all
+// nodes learn of the operator's changes.
 func TestNodesThatTheStoreTurnsAwayLearnOfChanges(t *testing.T) {
 	for _, kind := range []outage{outageRefuses, outageSilent, outageResets, outageSlow} {
 		for _, withCoordinator := range []bool{false, true} {
 			t.Run(fmt.Sprintf("kind %d, the coordinator too %v", kind, withCoordinator), func(t *testing.T) {
-				synctest.Test(t, func(t *testing.T) { playWithdrawals(t, wholeFleetNodes, kind, withCoordinator) })
+				synctest.Test(t, func(t *testing.T) { testChangesDuringOutage(t, wholeFleetNodes, kind, withCoordinator) })
 			})
 		}
 	}
 }
 
-func playWithdrawals(t *testing.T, nodes int, kind outage, withCoordinator bool) {
+func testChangesDuringOutage(t *testing.T, nodes int, kind outage, withCoordinator bool) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
 	f := startFleet(ctx, &running, nodes)
@@ -80,41 +82,42 @@
 			coordinator = number
 		}
 	}
-	f.store.strike(kind, func(node int) bool {
+	f.store.setOutage(kind, func(node int) bool {
 		if node == coordinator {
 			return withCoordinator
 		}
 		return node%3 == 0
 	})
-	// Changes come at once, and again when others have taken over.
+	// The first change comes right after the outage begins, the later ones when another coordinator
+	// may have taken over.
 	for change := 1; change <= 3; change++ {
 		size := sizeBefore + change
 		f.put(size)
-		time.Sleep(applyDuringOutage)
-		if unaware := f.unaware(size); unaware > 0 {
-			t.Errorf("change %d: %d nodes do not know of it after %v", change, unaware, applyDuringOutage)
+		time.Sleep(outageApplyTimeout)
+		if unaware := f.countWithout(size); unaware > 0 {
+			t.Errorf("change %d: %d nodes do not have it after %v", change, unaware, outageApplyTimeout)
 		}
 	}
 }
 
-// Seen: 580 to 872 of 1,000 nodes did not know a configuration of 1,400 routes 4 s after an outage.
-// Cause: each node reads all of it from the store, 430 MB at the 80 MB a second that the store reads for all
-// nodes together: 740 nodes know it in time.
+// 580 to 872 of 1,000 nodes didn't have a configuration of 1,400 routes 4 s after an outage. Each
+// node read all of it from the store, 430 MB in all; at the 80 MB/s that the store sends to all
+// nodes together, 740 nodes have it in time.
 func TestALargeConfigurationReachesAWholeFleet(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		playOutage(t, wholeFleetNodes, outageRefuses, func(int) bool { return true }, time.Second, sizeLarge, applyWithin)
+		testOutage(t, wholeFleetNodes, outageRefuses, func(int) bool { return true }, time.Second, sizeLarge, largeApplyTimeout)
 	})
 }
 
-// The sizes of configurations, in bytes: one before the outage, and of 60 and some 1,400
-// routes during it.
+// Sizes of configurations in bytes: one before the outage, and of 60 and some 1,400 routes during
+// it.
 const (
 	sizeBefore = 12_000
 	sizeSmall  = 24_000
 	sizeLarge  = 430_000
 )
 
-func playOutage(t *testing.T, nodes int, kind outage, struck func(int) bool, lasts time.Duration, size int, knownWithin time.Duration) {
+func testOutage(t *testing.T, nodes int, kind outage, affected func(int) bool, duration time.Duration, size int, applyTimeout time.Duration) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
 	f := startFleet(ctx, &running, nodes)
@@ -122,20 +125,20 @@
 	defer cancel()
 	f.put(sizeBefore)
 	time.Sleep(5 * time.Second)
-	if holders, unaware := f.holders(), f.unaware(sizeBefore); holders != 1 || unaware > 0 {
+	if holders, unaware := f.holders(), f.countWithout(sizeBefore); holders != 1 || unaware > 0 {
 		t.Fatalf("before the outage: %d holders, %d nodes without the configuration", holders, unaware)
 	}
-	f.store.strike(kind, struck)
-	time.Sleep(lasts / 2)
+	f.store.setOutage(kind, affected)
+	time.Sleep(duration / 2)
 	f.put(size)
-	time.Sleep(lasts - lasts/2)
-	f.store.strike(kind, nil)
-	time.Sleep(backWithin)
+	time.Sleep(duration - duration/2)
+	f.store.setOutage(kind, nil)
+	time.Sleep(recoveryTimeout)
 	if holders := f.holders(); holders != 1 {
-		t.Errorf("%d nodes hold the lease %v after the outage", holders, backWithin)
+		t.Errorf("%d nodes hold the lease %v after the outage", holders, recoveryTimeout)
 	}
-	time.Sleep(knownWithin - backWithin)
-	if unaware := f.unaware(size); unaware > 0 {
-		t.Errorf("%d nodes do not know the configuration %v after the outage", unaware, knownWithin)
+	time.Sleep(applyTimeout - recoveryTimeout)
+	if unaware := f.countWithout(size); unaware > 0 {
+		t.Errorf("%d nodes do not have the configuration %v after the outage", unaware, applyTimeout)
 	}
 }
--- a/internal/frontend/quarantine.go
+++ b/internal/frontend/quarantine.go
@@ -11,12 +11,12 @@
 	"dalehook/internal/storeproxy"
 )
 
-// newQuarantine returns what finds the requests that crash servers. Nodes share what they find
-// by the store, or by way of another node where the store turns them away.
+// newQuarantine returns the tracker of requests that crash servers. Nodes share their cases through
+// the store, or through another node if the store doesn't answer them.
 func (n *Node) newQuarantine(logger *zap.Logger) *crashwatch.Tracker {
 	adapter := n.options.Adapter
 	return crashwatch.NewTracker(crashwatch.Options{
-		Node: n.process(), Log: adapter.Log(), Directory: n.directory, Probe: adapter.Probe,
+		Node: n.processID(), Log: adapter.Log(), Directory: n.directory, Probe: adapter.Probe,
 		Logger:   logger.Named("quarantine"),
 		Relay:    crashwatch.Relay{Read: n.readQuarantineRelayed, Put: n.putQuarantineRelayed},
 		Changed:  func() { n.coordinator.ObserveQuarantine() },
@@ -30,15 +30,16 @@
 	if err != nil {
 		return follow.Relay{}, err
 	}
-	return relayOf(answer), nil
+	return relayFrom(answer), nil
 }
 
 func (n *Node) putQuarantineRelayed(ctx context.Context, records []store.Record) error {
 	return storeproxy.Put(ctx, &n.peers, storeproxy.Addition{Topic: store.TopicQuarantine, Records: records})
 }
 
-// observeServers tells who needs it that the list of servers changed.
-func (n *Node) observeServers() {
+// notifyServersChanged tells the quarantine and the coordinator that the list of servers has
+// changed.
+func (n *Node) notifyServersChanged() {
 	n.quarantine.ObserveServers()
 	n.coordinator.ObserveServers()
 }
--- a/internal/frontend/race_on_test.go
+++ b/internal/frontend/race_on_test.go
@@ -2,6 +2,6 @@
 
 package frontend
 
-// fleetNodes is the number of nodes of a fleet under the race detector. With 300 of them in one
-// bubble the detector itself, or the runtime under it, ended now and then (docs/findings.md).
+// fleetNodes and wholeFleetNodes are smaller under the race detector: with 300 nodes in one
+// synctest bubble, the detector or the runtime occasionally crashed (docs/findings.md).
 const fleetNodes, wholeFleetNodes = 60, 60
--- a/internal/frontend/rewards.go
+++ b/internal/frontend/rewards.go
@@ -13,7 +13,7 @@
 	"dalehook/internal/routetable"
 )
 
-// rewardCaller makes reward calls by the gateway's rules.
+// rewardCaller sends reward calls through the gateway, which applies its routing and retry rules.
 type rewardCaller struct {
 	gateway *gateway.Gateway
 	logger  *zap.Logger
--- a/internal/frontend/scaling.go
+++ b/internal/frontend/scaling.go
@@ -6,10 +6,10 @@
 	"dalehook/internal/scaling"
 )
 
-// newScaling returns what orders servers, nil where none are ordered.
+// newScaling returns the driver that orders servers, nil if the settings don't enable it.
 func (n *Node) newScaling(logger *zap.Logger) *scaling.Driver {
 	settings := n.options.Settings
-	if !settings.ordersServers() {
+	if !settings.scalingEnabled() {
 		return nil
 	}
 	return scaling.NewDriver(scaling.DriverOptions{
@@ -21,7 +21,7 @@
 	})
 }
 
-// scalingView returns what is known of the services whose number of servers may be chosen.
+// scalingView returns the state of the services whose number of servers is scaled.
 func (n *Node) scalingView() scaling.View {
 	view := scaling.View{Listed: make(map[string]map[string]int), Open: n.coordinator.Demand()}
 	table := n.table.Load()
--- a/internal/frontend/product.go
+++ b/internal/frontend/service.go
@@ -16,20 +16,19 @@
 	"dalehook/internal/store"
 )
 
-// Verdict is the answer to a call about a batch job.
+// Verdict is the result of a call about a batch job.
 type Verdict int
 
-// The verdicts.
 const (
-	// VerdictDone: the call was carried out.
+	// VerdictDone: the call succeeded.
 	VerdictDone Verdict = iota
-	// VerdictRefused: the call was not and will not be carried out.
+	// VerdictRefused: the call has had no effect and will have none.
 	VerdictRefused
-	// VerdictUnknown: the call may have been carried out.
+	// VerdictUnknown: the call may have taken effect.
 	VerdictUnknown
-	// VerdictAbsent: there is no such job or item.
+	// VerdictAbsent: the job or item doesn't exist.
 	VerdictAbsent
-	// VerdictKeyUnknown: the caller bears no key that is known.
+	// VerdictKeyUnknown: the request has no key, or one that no tenant has.
 	VerdictKeyUnknown
 )
 
@@ -39,26 +38,26 @@
 }
 
 const (
-	// appendTimeout bounds one append for a caller.
+	// appendTimeout limits one append on behalf of a caller.
 	appendTimeout = 700 * time.Millisecond
-	// appendTries bounds the appends for one call. Records of a job may stand
-	// twice in the log; the second copies are void.
-	appendTries = 3
+	// maxAppendAttempts limits the appends for one call. A retry may write a job's records twice;
+	// readers ignore the second copies.
+	maxAppendAttempts = 3
 )
 
-// Table returns the configuration in force, or nil.
+// Table returns the configuration in force, nil if none is.
 func (n *Node) Table() *routetable.Table { return n.table.Load() }
 
-// storeSilence is the time without an answer of the store after which a node asks
-// for no new connections: others may still reach the store.
-const storeSilence = 2 * time.Second
+// storeSilenceLimit is the time without an answer from the store after which a node reports itself
+// as not ready: other nodes may still reach the store.
+const storeSilenceLimit = 2 * time.Second
 
-// quarantineWait is how long a node that starts takes no callers for want of what others know of
-// requests that crash servers: their part of the store may be away alone. It is about what nodes
-// have to tell each other anyway.
+// quarantineWait is how long a starting node stays not ready because it hasn't read the quarantine.
+// It then takes requests all the same, since only that part of the store may be unavailable. It is
+// about the delay with which nodes learn of each other's quarantine cases in any case.
 const quarantineWait = 2 * time.Second
 
-// Ready says whether new connections are wanted.
+// Ready reports whether the node wants new connections.
 func (n *Node) Ready() bool {
 	if n.leaving.Load() || n.table.Load() == nil || !n.servers.Complete() {
 		return false
@@ -66,11 +65,12 @@
 	if !n.quarantine.Loaded() && clock.Since(n.startedAt) < quarantineWait {
 		return false
 	}
-	return n.storeSilentFor() < storeSilence
+	return n.storeSilentFor() < storeSilenceLimit
 }
 
-// storeSilentFor returns the time since the store answered this node: what the newest configuration is, or, where the
-// coordinator tells that and this node does not ask, anything.
+// storeSilentFor returns the time since the store last answered this node about the newest
+// configuration or, where the coordinator announces that and this node doesn't ask the store, since
+// it answered any call.
 func (n *Node) storeSilentFor() time.Duration {
 	now := clock.Now()
 	asked := n.operatorReadAt.age(now)
@@ -80,7 +80,7 @@
 	return min(asked, n.storeAnsweredAt.age(now))
 }
 
-// observeStore takes the end of a call to the store.
+// observeStore records the result of a call to the store.
 func (n *Node) observeStore(call string, status int, took time.Duration) {
 	n.metrics.observeStore(call, status, took)
 	if status >= http.StatusOK && status < http.StatusMultipleChoices {
@@ -93,35 +93,35 @@
 	n.gateway.Serve(ctx, w, table, route, request)
 }
 
-// Submit accepts a batch job: it is done when the store holds the whole job.
+// Submit accepts a batch job. It has succeeded when the store holds the whole job.
 func (n *Node) Submit(ctx context.Context, job *batch.Job) Verdict {
 	records, err := batch.EncodeJob(job)
 	if err != nil {
 		n.logger.Error("batch job not encoded", zap.String("job", job.ID), zap.Error(err))
 		return VerdictRefused
 	}
-	verdict := n.append(ctx, job.ID, records)
+	verdict := n.appendRecords(ctx, job.ID, records)
 	n.metrics.observeJobCall("submit", verdict)
 	n.logger.Info("batch job submitted", zap.String("job", job.ID), zap.String("model", job.Model), zap.Int("step", job.Step),
 		zap.Int("items", len(job.Items)), zap.Int("wanted_groups", job.WantedGroups), zap.Int64("minimum", job.MinVersion), zap.Stringer("verdict", verdict))
 	return verdict
 }
 
-// End closes a batch job.
+// End ends a batch job.
 func (n *Node) End(ctx context.Context, job batch.Name) Verdict {
 	records, err := batch.EncodeEnd(&batch.End{JobID: job.ID, Tenant: job.Tenant})
 	if err != nil {
 		return VerdictRefused
 	}
-	verdict := n.append(ctx, job.ID, records)
+	verdict := n.appendRecords(ctx, job.ID, records)
 	n.metrics.observeJobCall("end", verdict)
 	n.logger.Info("batch job ended", zap.String("job", job.ID), zap.Stringer("verdict", verdict))
 	return verdict
 }
 
-func (n *Node) append(ctx context.Context, jobID string, records [][]byte) Verdict {
+func (n *Node) appendRecords(ctx context.Context, jobID string, records [][]byte) Verdict {
 	verdict := VerdictRefused
-	for range appendTries {
+	for range maxAppendAttempts {
 		err := n.appendOnce(ctx, jobID, records)
 		if err == nil {
 			return VerdictDone
@@ -137,8 +137,8 @@
 	return verdict
 }
 
-// appendOnce appends for a caller, also for one that has left. Where this node has no more time it ends, so that the
-// caller is answered.
+// appendOnce appends records on behalf of a caller, also after the caller has disconnected. It is
+// cancelled when the node's drain deadline expires, so that the caller still gets an answer.
 func (n *Node) appendOnce(ctx context.Context, jobID string, records [][]byte) error {
 	call, cancel := context.WithTimeout(context.WithoutCancel(ctx), appendTimeout)
 	defer cancel()
@@ -151,7 +151,8 @@
 	return n.jobs.Append(call, jobID, records)
 }
 
-// Results returns the results of a batch job from a position on.
+// Results returns the results of a batch job from a position on. If there are none yet, it polls
+// for up to wait.
 func (n *Node) Results(ctx context.Context, job batch.Name, from int, wait time.Duration) (total int, results []batch.Result, verdict Verdict) {
 	return n.jobReader.results(ctx, job, from, wait)
 }
--- a/internal/frontend/settings_test.go
+++ b/internal/frontend/settings_test.go
@@ -5,11 +5,11 @@
 	"testing"
 )
 
-const goodSettings = `{"node":"n","zone":"z","listen":{"requests":"127.0.0.1:1","readiness":"127.0.0.1:2","internal":"127.0.0.1:3"},
+const validSettings = `{"node":"n","zone":"z","listen":{"requests":"127.0.0.1:1","readiness":"127.0.0.1:2","internal":"127.0.0.1:3"},
  "store":{"address":"127.0.0.1:4","partitions":12},"order_pause_ms":3000,"grace_seconds":8,"memory_mb":344}`
 
 func TestSettings(t *testing.T) {
-	settings, err := ParseSettings([]byte(goodSettings))
+	settings, err := ParseSettings([]byte(validSettings))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -18,12 +18,12 @@
 	}
 	cases := []struct{ name, text, want string }{
 		{"no JSON", "{", "decode"},
-		{"more text", goodSettings + "{}", "text follows"},
-		{"unknown key", strings.Replace(goodSettings, `"zone"`, `"zones"`, 1), "zones"},
-		{"no partitions", strings.Replace(goodSettings, `"partitions":12`, `"partitions":0`, 1), "store.partitions"},
+		{"more text", validSettings + "{}", "text follows"},
+		{"unknown key", strings.Replace(validSettings, `"zone"`, `"zones"`, 1), "zones"},
+		{"no partitions", strings.Replace(validSettings, `"partitions":12`, `"partitions":0`, 1), "store.partitions"},
 		{"nothing", "{}", "node is missing"},
-		{"no window", strings.Replace(goodSettings, `"order_pause_ms"`, `"provider":{"address":"127.0.0.1:5","duties":["usage"]},"order_pause_ms"`, 1), "usage.window_seconds"},
-		{"negative pause", strings.Replace(goodSettings, "3000", "-1", 1), "order_pause_ms"},
+		{"no window", strings.Replace(validSettings, `"order_pause_ms"`, `"provider":{"address":"127.0.0.1:5","duties":["usage"]},"order_pause_ms"`, 1), "usage.window_seconds"},
+		{"negative pause", strings.Replace(validSettings, "3000", "-1", 1), "order_pause_ms"},
 	}
 	for _, c := range cases {
 		if _, err := ParseSettings([]byte(c.text)); err == nil || !strings.Contains(err.Error(), c.want) {
--- a/internal/frontend/usage.go
+++ b/internal/frontend/usage.go
@@ -13,21 +13,22 @@
 	"dalehook/internal/usage"
 )
 
-// flushTimeout bounds the last append of what a leaving node has counted.
+// flushTimeout limits the last append of usage counts when a node shuts down.
 const flushTimeout = 500 * time.Millisecond
 
-var errNobodyKnown = errors.New("no other node is known to coordinate")
+var errNoCoordinator = errors.New("no other node is known as the coordinator")
 
-// newUsage returns what counts and reports the usage of tenants, nil where nobody asks for it.
+// newUsage returns the sender that counts usage and the reporter that reports it, nil if the
+// settings don't enable them.
 func (n *Node) newUsage(logger *zap.Logger) (*usage.Sender, *usage.Reporter) {
 	settings := n.options.Settings
-	if !settings.reportsUsage() {
+	if !settings.usageEnabled() {
 		return nil, nil
 	}
 	log := n.options.Adapter.Log()
 	length := seconds(settings.Usage.WindowSeconds)
 	sender := usage.NewSender(usage.SenderOptions{
-		Log: log, Process: n.process(), Length: length, Forward: n.forwardUsage, Logger: logger.Named("usage"),
+		Log: log, Process: n.processID(), Length: length, Forward: n.forwardUsage, Logger: logger.Named("usage"),
 		Lost: func(requests int) { n.metrics.usageLost.Add(float64(requests)) },
 	})
 	reporter := usage.NewReporter(usage.ReporterOptions{
@@ -40,34 +41,34 @@
 
 func seconds(value float64) time.Duration { return time.Duration(value * float64(time.Second)) }
 
-// noteBegan counts a request that began to run at a server.
-func (n *Node) noteBegan(tenantName string, at time.Time) {
+// countStarted counts a request of a tenant that has started to run at a server.
+func (n *Node) countStarted(tenantName string, at time.Time) {
 	if n.usageSender != nil && tenantName != "" {
 		n.usageSender.Count(tenantName, at)
 	}
 }
 
-// forwardUsage has the coordinator append a record that this node could not.
+// forwardUsage asks the coordinator to append a usage record that this node couldn't append.
 func (n *Node) forwardUsage(ctx context.Context, record []byte) error {
-	address := n.jobReader.answering()
+	address := n.jobReader.forwardTarget()
 	if address == "" {
-		return errNobodyKnown
+		return errNoCoordinator
 	}
 	return usage.AskToAppend(ctx, address, record)
 }
 
-// term returns this node's hold of the lease, for what is done at the provider under it.
+// term returns the lease term under which this node may call the provider.
 func (n *Node) term() duty.Term {
 	standing := n.standing.Load()
 	if standing == nil {
 		return duty.Term{}
 	}
-	return duty.Term{Epoch: standing.Lease.Epoch, Acting: n.acts(clock.Now(), *standing)}
+	return duty.Term{Epoch: standing.Lease.Epoch, Acting: n.mayAct(clock.Now(), *standing)}
 }
 
-// acts says whether this node may act on the lease now.
-func (n *Node) acts(now time.Time, standing election.Standing) bool {
+// mayAct reports whether this node may act on the lease now.
+func (n *Node) mayAct(now time.Time, standing election.Standing) bool {
 	pause := time.Duration(n.options.Settings.OrderPauseMs) * time.Millisecond
 	settled := standing.Lease.SettledAt(pause, n.options.Settings.FencingEnforced)
-	return standing.Held && now.Before(standing.Lease.Until) && !now.Before(settled) && !n.hold.Yielded(standing.Lease.Epoch)
+	return standing.Held && now.Before(standing.Lease.Until) && !now.Before(settled) && !n.leaseHold.Yielded(standing.Lease.Epoch)
 }
