--- a/cmd/dalehook-node/status.go
+++ b/cmd/dalehook-node/status.go
@@ -47,7 +47,7 @@
 		fmt.Fprintln(os.Stderr, "status: name a node")
 		return subcommands.ExitUsageError
 	}
-	lines := nodestatus.AskFleet(ctx, flags.Args())
+	lines := nodestatus.QueryFleet(ctx, flags.Args())
 	shown := lines
 	if !c.all {
 		shown = lines[:min(len(lines), statusLines)]
@@ -62,7 +62,7 @@
 	return subcommands.ExitSuccess
 }
 
-func writeStatus(lines, shown []nodestatus.Line) error {
+func writeStatus(lines, shown []nodestatus.NodeResult) error {
 	writer := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(writer, "address\tnode\tbuild\tready\tcoordinates\tconfiguration\tread ago\tservers\tread ago")
 	builds := make(map[string]int)
@@ -86,11 +86,11 @@
 	return nil
 }
 
-func writeLine(writer *tabwriter.Writer, line nodestatus.Line) {
+func writeLine(writer *tabwriter.Writer, line nodestatus.NodeResult) {
 	switch {
 	case line.Err != nil:
 		fmt.Fprintf(writer, "%s\tdoes not answer: %v\n", line.Address, line.Err)
-	case line.Build == nodestatus.NoBuild:
+	case line.Build == nodestatus.EarlierBuild:
 		fmt.Fprintf(writer, "%s\t\t%s\n", line.Address, line.Build)
 	default:
 		fmt.Fprintf(writer, "%s\t%s\t%s\t%t\t%t\t%d\t%v\t%d\t%v\n", line.Address, line.Node, line.Build, line.Ready, line.Leading, line.Configuration,
--- a/internal/frontend/status.go
+++ b/internal/frontend/status.go
@@ -6,9 +6,9 @@
 	"dalehook/internal/nodestatus"
 )
 
-var _ nodestatus.Teller = (*Node)(nil)
+var _ nodestatus.Source = (*Node)(nil)
 
-// Status implements nodestatus.Teller.
+// Status implements nodestatus.Source.
 func (n *Node) Status() nodestatus.Status {
 	now := clock.Now()
 	status := nodestatus.Status{
--- a/internal/nodestatus/fleet.go
+++ b/internal/nodestatus/fleet.go
@@ -12,54 +12,55 @@
 )
 
 const (
-	// askTimeout bounds the question to one node, askedAtOnce how many are asked at a time.
-	askTimeout  = 2 * time.Second
-	askedAtOnce = 32
+	// queryTimeout limits the query of one node, maxConcurrentQueries the number of simultaneous
+	// queries.
+	queryTimeout         = 2 * time.Second
+	maxConcurrentQueries = 32
 )
 
-// NoBuild stands for the build of nodes that do not tell it.
-const NoBuild = "earlier"
+// EarlierBuild is shown as the build of nodes that don't support the query.
+const EarlierBuild = "earlier"
 
-// Line is what is known of one node of a fleet.
-type Line struct {
+// NodeResult is the result of querying one node.
+type NodeResult struct {
 	Address string
 	Status
-	// Err is set where the node does not answer.
+	// Err is set if the node didn't answer.
 	Err error
 }
 
-// AskFleet asks all nodes and returns what they say: first those that do not answer, then those that are not
-// ready, then those of the builds and configurations that the fewest have.
-func AskFleet(ctx context.Context, addresses []string) []Line {
-	mapper := iter.Mapper[string, Line]{MaxGoroutines: askedAtOnce}
-	lines := mapper.Map(addresses, func(address *string) Line { return askLine(ctx, *address) })
-	sortLines(lines)
-	return lines
+// QueryFleet queries all nodes. It returns first those that didn't answer, then those that aren't
+// ready, then those with the rarest builds and configurations.
+func QueryFleet(ctx context.Context, addresses []string) []NodeResult {
+	mapper := iter.Mapper[string, NodeResult]{MaxGoroutines: maxConcurrentQueries}
+	results := mapper.Map(addresses, func(address *string) NodeResult { return queryNode(ctx, *address) })
+	sortResults(results)
+	return results
 }
 
-func askLine(ctx context.Context, address string) Line {
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+func queryNode(ctx context.Context, address string) NodeResult {
+	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
-	line := Line{Address: address}
-	line.Status, line.Err = Ask(ctx, address)
-	var unknown rpc.ServerError
-	if errors.As(line.Err, &unknown) {
-		// The node runs, and does not have the call: nothing says that it is not ready.
-		line.Build, line.Ready, line.Err = NoBuild, true, nil
+	result := NodeResult{Address: address}
+	result.Status, result.Err = Query(ctx, address)
+	var serverError rpc.ServerError
+	if errors.As(result.Err, &serverError) {
+		// The node runs a build without this call; nothing indicates that it isn't ready.
+		result.Build, result.Ready, result.Err = EarlierBuild, true, nil
 	}
-	return line
+	return result
 }
 
-func sortLines(lines []Line) {
+func sortResults(results []NodeResult) {
 	builds, configurations := make(map[string]int), make(map[int64]int)
-	for _, line := range lines {
-		builds[line.Build]++
-		configurations[line.Configuration]++
+	for _, result := range results {
+		builds[result.Build]++
+		configurations[result.Configuration]++
 	}
-	slices.SortStableFunc(lines, func(a, b Line) int {
+	slices.SortStableFunc(results, func(a, b NodeResult) int {
 		return cmp.Or(
-			compareTruth(b.Err != nil, a.Err != nil),
-			compareTruth(a.Ready, b.Ready),
+			compareBool(b.Err != nil, a.Err != nil),
+			compareBool(a.Ready, b.Ready),
 			cmp.Compare(builds[a.Build], builds[b.Build]),
 			cmp.Compare(configurations[a.Configuration], configurations[b.Configuration]),
 			cmp.Compare(a.Build, b.Build),
@@ -68,7 +69,7 @@
 	})
 }
 
-func compareTruth(a, b bool) int {
+func compareBool(a, b bool) int {
 	switch {
 	case a == b:
 		return 0
--- a/internal/nodestatus/nodestatus.go
+++ b/internal/nodestatus/nodestatus.go
@@ -1,4 +1,5 @@
-// Package nodestatus lets operators ask nodes which build they run and how fresh what they know is.
+// Package nodestatus lets operators query nodes for the build that they run and the age of their
+// configuration and server list.
 package nodestatus
 
 import (
@@ -11,25 +12,26 @@
 	"dalehook/internal/nodecall"
 )
 
-// Nothing is the argument of a call that needs none.
-type Nothing struct{}
+// Empty is the argument of a call without parameters.
+type Empty struct{}
 
-// Status is what a node says of itself.
+// Status is a node's state.
 type Status struct {
-	// Node names the machine, Build the revision that its program was built from.
+	// Node is the name of the machine, Build the revision of the program.
 	Node, Build string
-	// Ready says whether it wants new connections, Leading whether it coordinates.
+	// Ready is true if the node wants new connections, Leading if it is the coordinator.
 	Ready, Leading bool
-	// Configuration is the version in force, 0 for none; ConfigurationAge is how long ago it was read.
+	// Configuration is the version in force, 0 for none; ConfigurationAge is the time since it was
+	// last confirmed.
 	Configuration    int64
 	ConfigurationAge time.Duration
-	// Servers is the number of servers in the list; ListAge is how long ago that was read.
+	// Servers is the number of servers in the list; ListAge is the time since the list was read.
 	Servers int
 	ListAge time.Duration
 }
 
-// Teller tells the status of a node.
-type Teller interface {
+// Source provides the status of a node.
+type Source interface {
 	Status() Status
 }
 
@@ -38,21 +40,22 @@
 	methodStatus = serviceName + ".Status"
 )
 
-type service struct{ teller Teller }
+type service struct{ source Source }
 
-// Register has a server answer operators' questions.
-func Register(server *rpc.Server, teller Teller) error {
-	return eris.Wrap(server.RegisterName(serviceName, &service{teller: teller}), "register the status")
+// Register registers the service on an RPC server.
+func Register(server *rpc.Server, source Source) error {
+	return eris.Wrap(server.RegisterName(serviceName, &service{source: source}), "register the status service")
 }
 
-// Status tells the status of the node.
-func (s *service) Status(_ Nothing, status *Status) error {
-	*status = s.teller.Status()
+// Status implements the RPC call for the node's status.
+func (s *service) Status(_ Empty, status *Status) error {
+	*status = s.source.Status()
 	return nil
 }
 
-// Ask asks the node at an internal address, IP:PORT. Nodes of builds without this call give an error.
-func Ask(ctx context.Context, address string) (status Status, err error) {
-	err = nodecall.Call(ctx, address, methodStatus, Nothing{}, &status)
+// Query queries the node at an internal address, IP:PORT. Nodes of builds without this call return
+// an error.
+func Query(ctx context.Context, address string) (status Status, err error) {
+	err = nodecall.Call(ctx, address, methodStatus, Empty{}, &status)
 	return status, err
 }
--- a/internal/nodestatus/nodestatus_test.go
+++ b/internal/nodestatus/nodestatus_test.go
@@ -12,29 +12,31 @@
 	"dalehook/internal/wiretest"
 )
 
-type teller Status
+type fixedStatus Status
 
-func (t teller) Status() Status { return Status(t) }
+func (t fixedStatus) Status() Status { return Status(t) }
 
-// serve has a node answer; without a teller it is of a build that does not have the call.
-func serve(t *testing.T, teller Teller) string {
+// serve starts a node that serves its status; with a nil source it serves no such call, as an
+// earlier build.
+func serve(t *testing.T, source Source) string {
 	t.Helper()
-	if teller == nil {
+	if source == nil {
 		return nodecalltest.Serve(t)
 	}
-	return nodecalltest.Serve(t, func(server *rpc.Server) error { return Register(server, teller) })
+	return nodecalltest.Serve(t, func(server *rpc.Server) error { return Register(server, source) })
 }
 
-// The odd nodes come first: what is silent, not ready, of a build or a configuration that few have.
-func TestAskFleet(t *testing.T) {
+// Unusual nodes come first: those that don't answer, aren't ready, or have a rare build or
+// configuration.
+func TestQueryFleet(t *testing.T) {
 	usual := Status{Node: "usual", Build: "b", Ready: true, Configuration: 3, ConfigurationAge: time.Second, Servers: 4, ListAge: time.Minute}
-	with := func(change func(*Status)) teller {
+	with := func(change func(*Status)) fixedStatus {
 		status := usual
 		change(&status)
-		return teller(status)
+		return fixedStatus(status)
 	}
 	addresses := []string{
-		serve(t, teller(usual)), serve(t, teller(usual)), serve(t, teller(usual)), serve(t, teller(usual)),
+		serve(t, fixedStatus(usual)), serve(t, fixedStatus(usual)), serve(t, fixedStatus(usual)), serve(t, fixedStatus(usual)),
 		serve(t, with(func(s *Status) { s.Node, s.Configuration = "behind", 2 })),
 		serve(t, nil), serve(t, nil),
 		serve(t, with(func(s *Status) { s.Node, s.Build = "other build", "a" })),
@@ -42,17 +44,17 @@
 		"127.0.0.1:1",
 	}
 	var order []string
-	for _, line := range AskFleet(context.Background(), addresses) {
+	for _, result := range QueryFleet(context.Background(), addresses) {
 		switch {
-		case line.Err != nil:
+		case result.Err != nil:
 			order = append(order, "silent")
-		case line.Build == NoBuild:
-			order = append(order, NoBuild)
+		case result.Build == EarlierBuild:
+			order = append(order, EarlierBuild)
 		default:
-			order = append(order, line.Node)
+			order = append(order, result.Node)
 		}
 	}
-	want := []string{"silent", "not ready", "other build", NoBuild, NoBuild, "behind", "usual", "usual", "usual", "usual"}
+	want := []string{"silent", "not ready", "other build", EarlierBuild, EarlierBuild, "behind", "usual", "usual", "usual", "usual"}
 	if diff := cmp.Diff(want, order); diff != "" {
 		t.Error(diff)
 	}
