--- a/internal/logs/writer.go
+++ b/internal/logs/writer.go
@@ -1,6 +1,5 @@
-// Package logs writes log lines without ever holding up the process: lines wait
-// in a bounded queue, and when their reader stands still, lines are lost and
-// counted instead of requests being late.
+// Package logs writes log lines without blocking the process. Lines wait in a bounded queue; when
+// the reader of the log stalls, lines are dropped and counted instead of delaying requests.
 package logs
 
 import (
@@ -12,34 +11,34 @@
 	"time"
 )
 
-// Writer is a queue of lines before a slow writer. It implements zapcore.WriteSyncer.
+// Writer queues lines for a slow target. It implements zapcore.WriteSyncer.
 type Writer struct {
-	target io.Writer
-	limit  int
-	done   chan struct{}
+	target     io.Writer
+	maxPending int
+	done       chan struct{}
 
 	mutex sync.Mutex
-	// ready wakes the goroutine that writes.
+	// ready signals the goroutine that writes to the target.
 	ready   *sync.Cond
 	pending []byte
-	ending  bool
+	closing bool
 
 	dropped atomic.Int64
 }
 
-// NewWriter returns a writer that holds up to limit bytes of lines.
-func NewWriter(target io.Writer, limit int) *Writer {
-	w := &Writer{target: target, limit: limit, done: make(chan struct{})}
+// NewWriter returns a writer that queues up to maxPending bytes of lines.
+func NewWriter(target io.Writer, maxPending int) *Writer {
+	w := &Writer{target: target, maxPending: maxPending, done: make(chan struct{})}
 	w.ready = sync.NewCond(&w.mutex)
 	go w.run()
 	return w
 }
 
-// Write takes one line. It never waits for the target, and never fails.
+// Write queues one line, or drops it if the queue is full. It never blocks and never fails.
 func (w *Writer) Write(line []byte) (int, error) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	if len(w.pending)+len(line) > w.limit {
+	if len(w.pending)+len(line) > w.maxPending {
 		w.dropped.Add(1)
 		return len(line), nil
 	}
@@ -48,40 +47,41 @@
 	return len(line), nil
 }
 
-// Sync implements zapcore.WriteSyncer; it does not wait.
+// Sync implements zapcore.WriteSyncer. It returns at once, without flushing.
 func (*Writer) Sync() error { return nil }
 
-// Dropped returns the number of lines that were lost so far.
+// Dropped returns the number of dropped lines.
 func (w *Writer) Dropped() int64 { return w.dropped.Load() }
 
-// Close writes what is pending, within a time.
-func (w *Writer) Close(limit time.Duration) {
+// Close writes the queued lines and stops the writer. It returns after the timeout even if the
+// target blocks.
+func (w *Writer) Close(timeout time.Duration) {
 	w.mutex.Lock()
-	w.ending = true
+	w.closing = true
 	w.ready.Signal()
 	w.mutex.Unlock()
 	select {
 	case <-w.done:
-	case <-time.After(limit):
+	case <-time.After(timeout):
 	}
 }
 
-// run writes what is pending, many lines in one call when they come fast.
+// run writes queued lines to the target, many in one call when they arrive fast.
 func (w *Writer) run() {
 	defer close(w.done)
 	var lines []byte
-	told := int64(0)
+	reported := int64(0)
 	for {
 		var more bool
 		lines, more = w.take(lines[:0])
 		if !more {
 			return
 		}
-		if dropped := w.dropped.Load(); dropped > told {
-			lines = fmt.Appendf(lines, "{\"level\":\"warn\",\"logger\":\"logs\",\"msg\":\"lines dropped\",\"lines\":%d}\n", dropped-told)
-			told = dropped
+		if dropped := w.dropped.Load(); dropped > reported {
+			lines = fmt.Appendf(lines, "{\"level\":\"warn\",\"logger\":\"logs\",\"msg\":\"lines dropped\",\"lines\":%d}\n", dropped-reported)
+			reported = dropped
 		}
-		// A target that fails for good has nobody to be told.
+		// There is nowhere to report a failure of the log's target.
 		_, _ = w.target.Write(lines)
 	}
 }
@@ -89,7 +89,7 @@
 func (w *Writer) take(buffer []byte) (lines []byte, more bool) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	for len(w.pending) == 0 && !w.ending {
+	for len(w.pending) == 0 && !w.closing {
 		w.ready.Wait()
 	}
 	if len(w.pending) == 0 {
--- a/internal/logs/writer_test.go
+++ b/internal/logs/writer_test.go
@@ -10,30 +10,30 @@
 	"time"
 )
 
-// gate is a reader of lines that stands still until it is opened.
-type gate struct {
+// blockingTarget is a target that blocks until opened is closed.
+type blockingTarget struct {
 	opened chan struct{}
 	mutex  sync.Mutex
 	text   bytes.Buffer
 }
 
-func (g *gate) Write(p []byte) (int, error) {
+func (g *blockingTarget) Write(p []byte) (int, error) {
 	<-g.opened
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	return g.text.Write(p)
 }
 
-func (g *gate) String() string {
+func (g *blockingTarget) String() string {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	return g.text.String()
 }
 
-func TestLinesComeInOrder(t *testing.T) {
+func TestLinesAreWrittenInOrder(t *testing.T) {
 	open := make(chan struct{})
 	close(open)
-	target := &gate{opened: open}
+	target := &blockingTarget{opened: open}
 	w := NewWriter(target, 1<<20)
 	var want strings.Builder
 	for i := range 1000 {
@@ -45,12 +45,12 @@
 	}
 	w.Close(time.Minute)
 	if target.String() != want.String() {
-		t.Error("the lines differ")
+		t.Error("the target got other lines or another order")
 	}
 }
 
-func TestAReaderThatStandsStillCostsLinesAndNoTime(t *testing.T) {
-	target := &gate{opened: make(chan struct{})}
+func TestBlockedTargetDropsLinesWithoutBlocking(t *testing.T) {
+	target := &blockingTarget{opened: make(chan struct{})}
 	w := NewWriter(target, 4096)
 	wrote := make(chan struct{})
 	go func() {
@@ -62,7 +62,7 @@
 	select {
 	case <-wrote:
 	case <-time.After(time.Minute):
-		t.Fatal("writing waits for the reader")
+		t.Fatal("writes block on the target")
 	}
 	if w.Dropped() == 0 {
 		t.Fatal("nothing was dropped")
@@ -71,18 +71,18 @@
 	_, _ = io.WriteString(w, "the last line\n")
 	w.Close(time.Minute)
 	if text := target.String(); !strings.Contains(text, `"msg":"lines dropped","lines":`) {
-		t.Error("the loss was not told")
+		t.Error("the number of dropped lines was not logged")
 	}
 }
 
-func TestCloseDoesNotWaitForever(t *testing.T) {
-	target := &gate{opened: make(chan struct{})}
+func TestCloseTimesOut(t *testing.T) {
+	target := &blockingTarget{opened: make(chan struct{})}
 	defer close(target.opened)
 	w := NewWriter(target, 4096)
 	_, _ = io.WriteString(w, "line\n")
 	began := time.Now()
 	w.Close(20 * time.Millisecond)
 	if time.Since(began) > time.Minute {
-		t.Error("Close waited")
+		t.Error("Close did not time out")
 	}
 }
