--- a/internal/eventstream/reader.go
+++ b/internal/eventstream/reader.go
@@ -1,5 +1,5 @@
-// Package eventstream reads server-sent events (the text/event-stream format of
-// the HTML standard), whole events only.
+// Package eventstream reads server-sent events (the text/event-stream format of the HTML standard).
+// It returns only complete events.
 package eventstream
 
 import (
@@ -10,13 +10,13 @@
 	"strings"
 )
 
-// MaxEventSize is the size in bytes beyond which an event is refused.
+// MaxEventSize is the maximum size of an event in bytes.
 const MaxEventSize = 1 << 20
 
-// ErrTooLarge is returned for an event beyond MaxEventSize.
+// ErrTooLarge is returned for an event larger than MaxEventSize.
 var ErrTooLarge = errors.New("event is too large")
 
-// Field is a line of an event other than id and data.
+// Field is a field of an event other than id and data.
 type Field struct {
 	Name  string
 	Value string
@@ -25,16 +25,16 @@
 // Event is one event of a stream.
 type Event struct {
 	ID string
-	// Data holds the data lines joined by line feeds.
+	// Data holds the values of the data fields, joined by line feeds.
 	Data string
-	// Fields holds the other lines, in order.
+	// Fields holds the other fields, in order.
 	Fields []Field
-	// Raw is the event as it came, with the empty line that ends it. It is
-	// overwritten by the next Read.
+	// Raw is the unparsed event, including the empty line that ends it. It is overwritten by the
+	// next Read.
 	Raw []byte
 }
 
-// Reader reads events.
+// Reader reads events from a stream.
 type Reader struct {
 	source *bufio.Reader
 	raw    []byte
@@ -45,16 +45,16 @@
 	return &Reader{source: bufio.NewReaderSize(source, 2048)}
 }
 
-// Read returns the next whole event. It returns io.EOF where the stream ends
-// between events, and io.ErrUnexpectedEOF where it ends inside one.
+// Read returns the next complete event. It returns io.EOF if the stream ends between events, and
+// io.ErrUnexpectedEOF if it ends within one.
 func (r *Reader) Read() (Event, error) {
 	r.raw = r.raw[:0]
 	for {
 		start := len(r.raw)
 		if err := r.readLine(); err != nil {
-			return Event{}, r.endError(err)
+			return Event{}, r.eofError(err)
 		}
-		line := trimLineEnd(r.raw[start:])
+		line := trimLineEnding(r.raw[start:])
 		if len(line) > 0 {
 			continue
 		}
@@ -79,14 +79,14 @@
 	}
 }
 
-func (r *Reader) endError(err error) error {
+func (r *Reader) eofError(err error) error {
 	if errors.Is(err, io.EOF) && len(r.raw) > 0 {
 		return io.ErrUnexpectedEOF
 	}
 	return err
 }
 
-func trimLineEnd(line []byte) []byte {
+func trimLineEnding(line []byte) []byte {
 	return bytes.TrimSuffix(bytes.TrimSuffix(line, []byte("\n")), []byte("\r"))
 }
 
@@ -94,7 +94,7 @@
 	event := Event{Raw: raw}
 	var data []string
 	for line := range bytes.Lines(raw) {
-		name, value, _ := strings.Cut(string(trimLineEnd(line)), ":")
+		name, value, _ := strings.Cut(string(trimLineEnding(line)), ":")
 		value = strings.TrimPrefix(value, " ")
 		switch name {
 		case "data":
