--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -1,62 +1,60 @@
-// Package cluster holds the identities that every other package shares: nodes,
-// back ends, zones and the placement view. It has no behaviour beyond small
-// helpers on those values.
+// Package cluster defines the identities that all other packages share: nodes, back ends, zones and
+// the placement view.
 package cluster
 
 import "slices"
 
-// NodeID names a dalehook node. It is unique over the life of a cluster only
-// together with an Incarnation, since a replaced machine may take the same name.
+// NodeID is the name of a dalehook node. A replacement machine may take the same name, so that only
+// NodeID and Incarnation together are unique over the lifetime of a cluster.
 type NodeID string
 
-// Incarnation tells two lives of one NodeID apart. A process takes its start
-// time in milliseconds of Unix time; a higher one replaces a lower one.
+// Incarnation distinguishes successive processes with the same NodeID. It is the process's start
+// time in milliseconds of Unix time; a higher one supersedes a lower one.
 type Incarnation uint64
 
-// ZoneName names a failure domain inside a region.
+// ZoneName is the name of a failure domain within a region.
 type ZoneName string
 
-// RegionName names a group of zones.
+// RegionName is the name of a group of zones.
 type RegionName string
 
-// Node is a dalehook process as its peers know it.
+// Node describes a dalehook process to its peers.
 type Node struct {
 	ID          NodeID      `json:"id"`
 	Incarnation Incarnation `json:"incarnation"`
 	Zone        ZoneName    `json:"zone"`
 	Region      RegionName  `json:"region,omitempty"`
-	// PeerAddress is host:port of the node-to-node listener.
+	// PeerAddress is the host:port of the node-to-node listener.
 	PeerAddress string `json:"peer_address"`
-	// ClientAddress is host:port of the HTTP listener.
+	// ClientAddress is the host:port of the HTTP listener.
 	ClientAddress string `json:"client_address"`
 }
 
-// BackendID names a model engine or a service server.
+// BackendID is the name of a model engine or a service server.
 type BackendID string
 
-// BackendKind says which protocol a back end speaks.
+// BackendKind is the kind of a machine, which determines the protocol that it speaks.
 type BackendKind string
 
-// The kinds of machines on the platform's list.
+// Kinds of machines in the platform's machine list.
 const (
 	KindEngine  BackendKind = "engine"
 	KindService BackendKind = "service"
 	KindNode    BackendKind = "node"
 )
 
-// MachineState is the platform's word on a machine. It lags behind the truth.
+// MachineState is a machine's state as the platform reports it, with a delay.
 type MachineState string
 
-// The states of a machine on the platform's list, and of a back end as its
-// watchers see it.
+// States of a machine in the platform's list, and of a back end as its watchers see it.
 const (
 	StateLive    MachineState = "live"
 	StateLeaving MachineState = "leaving"
 	StateDead    MachineState = "dead"
 )
 
-// Machine is one line of the platform's lagging machine list. For an engine the
-// pool is the name of the model pool, for a service server the service's name.
+// Machine is an entry of the platform's machine list, which lags behind the machines' actual state.
+// For an engine, Pool is the name of the model pool; for a service server, the name of the service.
 type Machine struct {
 	ID      BackendID    `json:"id"`
 	Kind    BackendKind  `json:"kind"`
@@ -65,16 +63,14 @@
 	Region  RegionName   `json:"region,omitempty"`
 	Address string       `json:"address"`
 	State   MachineState `json:"state"`
-	// Incarnation tells two lives of one machine name apart, where the list
-	// knows it.
+	// Incarnation distinguishes successive machines with the same name, if the list has it.
 	Incarnation Incarnation `json:"incarnation,omitempty"`
-	// PeerAddress is set for nodes only.
+	// PeerAddress is set only for nodes.
 	PeerAddress string `json:"peer_address,omitempty"`
 }
 
-// View is the placement view: the members over which keys and steps are placed.
-// Its number is the offset of its record on the control log. The zero View
-// means that none was published yet.
+// View is the placement view: the members over which keys and steps are placed. Number is the
+// offset of the view's record in the control log. The zero View means that none has been published.
 type View struct {
 	Number  uint64 `json:"number"`
 	Members []Node `json:"members"`
@@ -89,9 +85,8 @@
 	return v.Members[index], true
 }
 
-// Version is a weight version of one model. Versions of a model are ordered;
-// zero means that none is known.
+// Version is a version of a model's weights. A model's versions are ordered; zero means unknown.
 type Version int64
 
-// ModelName names a model whose weights have versions.
+// ModelName is the name of a model.
 type ModelName string
