--- a/internal/build/build.go
+++ b/internal/build/build.go
@@ -1,5 +1,5 @@
-// Package build tells which build of the program a process runs: nodes of two builds work side by
-// side while machines are replaced.
+// Package build returns the revision of the running program. During an upgrade, nodes of two builds
+// run side by side.
 package build
 
 import "runtime/debug"
@@ -7,20 +7,20 @@
 // Unknown is the revision of a program that was built outside of a checkout.
 const Unknown = "unknown"
 
-// revisionLength is the number of digits that tell revisions apart.
+// revisionLength is the number of digits of an abbreviated revision.
 const revisionLength = 12
 
-// Revision returns the revision of the sources that this program was built from, marked with "+" where
-// they had been changed since.
+// Revision returns the abbreviated revision that this program was built from, with a "+" if the
+// checkout had uncommitted changes.
 func Revision() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
 		return Unknown
 	}
-	return revisionOf(info.Settings)
+	return revisionFrom(info.Settings)
 }
 
-func revisionOf(settings []debug.BuildSetting) string {
+func revisionFrom(settings []debug.BuildSetting) string {
 	revision, modified := Unknown, ""
 	for _, setting := range settings {
 		switch setting.Key {
--- a/internal/build/build_test.go
+++ b/internal/build/build_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestRevisionOf(t *testing.T) {
+func TestRevisionFrom(t *testing.T) {
 	cases := []struct {
 		name     string
 		settings []debug.BuildSetting
@@ -13,10 +13,10 @@
 	}{
 		{"outside of a checkout", nil, Unknown},
 		{"a commit", []debug.BuildSetting{{Key: "vcs.revision", Value: "0123456789abcdef"}, {Key: "vcs.modified", Value: "false"}}, "0123456789ab"},
-		{"changed since", []debug.BuildSetting{{Key: "vcs.modified", Value: "true"}, {Key: "vcs.revision", Value: "0123456789abcdef"}}, "0123456789ab+"},
+		{"uncommitted changes", []debug.BuildSetting{{Key: "vcs.modified", Value: "true"}, {Key: "vcs.revision", Value: "0123456789abcdef"}}, "0123456789ab+"},
 	}
 	for _, c := range cases {
-		if got := revisionOf(c.settings); got != c.want {
+		if got := revisionFrom(c.settings); got != c.want {
 			t.Errorf("%s: %q", c.name, got)
 		}
 	}
