--- a/internal/duty/duty.go
+++ b/internal/duty/duty.go
@@ -1,19 +1,20 @@
-// Package duty has what all work shares that the holder of the lease does at a service outside:
-// under which epoch it may act, and what it is told once a later holder has acted.
+// Package duty defines what is common to the calls that the holder of the lease makes to external
+// services: the term under which it may call, and the error for a call that a later holder has
+// fenced off.
 package duty
 
 import "errors"
 
-// Term is this process's hold of the lease.
+// Term is this process's term as holder of the lease.
 type Term struct {
-	// Epoch fences what is done: it rises with every holder.
+	// Epoch is the fencing token of the calls; it rises with every holder.
 	Epoch int64
-	// Acting says that calls may be made under the epoch now.
-	Acting bool
+	// Active is true while calls may be made under the epoch.
+	Active bool
 }
 
-// Covers says whether calls may be made under an epoch now.
-func (t Term) Covers(epoch int64) bool { return t.Acting && t.Epoch == epoch }
+// Permits reports whether calls may be made under an epoch now.
+func (t Term) Permits(epoch int64) bool { return t.Active && t.Epoch == epoch }
 
-// ErrFenced says that a call was refused since a later holder of the lease has made one.
-var ErrFenced = errors.New("a later holder of the lease has acted")
+// ErrFenced means that a call was refused because a later holder of the lease has made one.
+var ErrFenced = errors.New("fenced off by a later holder of the lease")
--- a/internal/frontend/usage.go
+++ b/internal/frontend/usage.go
@@ -63,7 +63,7 @@
 	if standing == nil {
 		return duty.Term{}
 	}
-	return duty.Term{Epoch: standing.Lease.Epoch, Acting: n.mayAct(clock.Now(), *standing)}
+	return duty.Term{Epoch: standing.Lease.Epoch, Active: n.mayAct(clock.Now(), *standing)}
 }
 
 // mayAct reports whether this node may act on the lease now.
--- a/internal/scaling/driver.go
+++ b/internal/scaling/driver.go
@@ -66,7 +66,7 @@
 
 func (d *Driver) step(ctx context.Context) {
 	term := d.options.Term()
-	if !term.Acting {
+	if !term.Active {
 		return
 	}
 	if d.machine == nil || d.epoch != term.Epoch {
@@ -86,7 +86,7 @@
 }
 
 func (d *Driver) order(ctx context.Context, order Order, view View) {
-	if term := d.options.Term(); !term.Covers(order.Epoch) {
+	if term := d.options.Term(); !term.Permits(order.Epoch) {
 		return
 	}
 	call, cancel := context.WithTimeout(ctx, orderTimeout)
--- a/internal/usage/reporter.go
+++ b/internal/usage/reporter.go
@@ -99,7 +99,7 @@
 
 func (r *Reporter) step(ctx context.Context) error {
 	term := r.options.Term()
-	if !term.Acting {
+	if !term.Active {
 		return nil
 	}
 	if r.ledger == nil || r.epoch != term.Epoch {
@@ -241,7 +241,7 @@
 	counts, _ := r.ledger.Counts(window)
 	call, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
-	if term := r.options.Term(); !term.Covers(r.epoch) {
+	if term := r.options.Term(); !term.Permits(r.epoch) {
 		return nil
 	}
 	err := r.options.Provider.ReportUsage(call, Report{Window: window, Counts: counts, Epoch: r.epoch})
--- a/internal/usage/reporter_test.go
+++ b/internal/usage/reporter_test.go
@@ -84,7 +84,7 @@
 	return func() duty.Term {
 		h.mutex.Lock()
 		defer h.mutex.Unlock()
-		return duty.Term{Epoch: h.epoch, Acting: h.holder == process}
+		return duty.Term{Epoch: h.epoch, Active: h.holder == process}
 	}
 }
 
