--- a/cmd/dalehook-node/check.go
+++ b/cmd/dalehook-node/check.go
@@ -11,7 +11,7 @@
 	"dalehook/internal/frontend"
 )
 
-// checkCommand checks a settings file.
+// checkCommand validates a settings file.
 type checkCommand struct{ settings settingsFlag }
 
 // Name implements subcommands.Command.
@@ -34,6 +34,6 @@
 		fmt.Fprintln(os.Stderr, err)
 		return subcommands.ExitFailure
 	}
-	fmt.Println("settings are good")
+	fmt.Println("settings are valid")
 	return subcommands.ExitSuccess
 }
--- a/cmd/dalehook-node/main.go
+++ b/cmd/dalehook-node/main.go
@@ -1,8 +1,8 @@
-// Command dalehook-node runs a node on the users' platform. It is a program of
-// its own so that the process holds none of the rehearsal's code.
+// Command dalehook-node runs a node on the users' platform. It is a separate program so that the
+// node's binary contains no rehearsal code.
 package main
 
-// The C library is linked, as the platform asks of every program.
+// Links the C library, which the platform requires of every program.
 
 // #include <stdlib.h>
 import "C"
--- a/cmd/dalehook-node/quarantine.go
+++ b/cmd/dalehook-node/quarantine.go
@@ -14,13 +14,13 @@
 	"dalehook/internal/quarantine"
 )
 
-// quarantineCommand lists the requests that crash servers, and lets one run again.
+// quarantineCommand lists the requests that crash servers, or releases one.
 type quarantineCommand struct {
 	node    string
 	release string
 }
 
-// quarantineTimeout bounds the call to a node.
+// quarantineTimeout limits the call to a node.
 const quarantineTimeout = 5 * time.Second
 
 // Name implements subcommands.Command.
@@ -48,14 +48,14 @@
 // Execute implements subcommands.Command.
 func (c *quarantineCommand) Execute(ctx context.Context, _ *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	if c.node == "" {
-		fmt.Fprintln(os.Stderr, "quarantine: name a node")
+		fmt.Fprintln(os.Stderr, "quarantine: -node is required")
 		return subcommands.ExitUsageError
 	}
 	ctx, cancel := context.WithTimeout(ctx, quarantineTimeout)
 	defer cancel()
 	run := c.list
 	if c.release != "" {
-		run = c.letRun
+		run = c.releaseRequest
 	}
 	if err := run(ctx); err != nil {
 		fmt.Fprintln(os.Stderr, "quarantine:", err)
@@ -73,31 +73,31 @@
 	fmt.Fprintln(writer, "fingerprint\theld\tserver\tborn\tended")
 	for _, known := range cases {
 		for _, end := range known.Ends {
-			fmt.Fprintf(writer, "%s\t%t\t%s\t%s\t%s\n", known.Fingerprint, known.Held, end.Server.ID, birth(end.Server.Born), end.At.UTC().Format(time.RFC3339))
+			fmt.Fprintf(writer, "%s\t%t\t%s\t%s\t%s\n", known.Fingerprint, known.Held, end.Server.ID, formatBirth(end.Server.Born), end.At.UTC().Format(time.RFC3339))
 		}
 	}
 	return writer.Flush()
 }
 
-// birth shows the time of birth of a server, which may not have told it.
-func birth(born int64) string {
+// formatBirth formats a server's time of birth, which the server may not have reported.
+func formatBirth(born int64) string {
 	if born == 0 {
 		return "not told"
 	}
 	return time.UnixMilli(born).UTC().Format(time.RFC3339)
 }
 
-func (c *quarantineCommand) letRun(ctx context.Context) error {
+func (c *quarantineCommand) releaseRequest(ctx context.Context) error {
 	fingerprint, ok := quarantine.ParseFingerprint(c.release)
 	if !ok {
-		return fmt.Errorf("%q is no fingerprint", c.release)
+		return fmt.Errorf("%q is not a valid fingerprint", c.release)
 	}
 	known, err := crashwatch.AskRelease(ctx, c.node, fingerprint)
 	if err != nil {
 		return err
 	}
 	if !known {
-		return fmt.Errorf("node %s knows nothing against %s", c.node, fingerprint)
+		return fmt.Errorf("node %s has no record of request %s", c.node, fingerprint)
 	}
 	fmt.Println("released")
 	return nil
--- a/cmd/dalehook-node/run.go
+++ b/cmd/dalehook-node/run.go
@@ -20,35 +20,37 @@
 	"dalehook/platform"
 )
 
-// settingsVariable names the settings file where no flag does.
+// settingsVariable is the environment variable with the path of the settings file, for use without
+// the flag.
 const settingsVariable = "DALEHOOK_NODE_FILE"
 
-// The collector runs often, since memory is dearer than processor time.
+// The garbage collector runs more often than by default, since memory is scarcer than processor
+// time.
 const (
-	collectPercent = 25
-	memoryShare    = 0.7
+	gcPercent        = 25
+	memoryLimitShare = 0.7
 )
 
-// Bounds of the log.
+// Limits of the log output.
 const (
-	// lineBuffer is how many bytes of lines wait for their reader.
-	lineBuffer = 256 << 10
-	// closeTimeout bounds the writing of the last lines.
-	closeTimeout = 300 * time.Millisecond
-	// linesFull is how many lines of one message are written in a second; beyond
-	// them, one of linesSampled is.
-	linesFull    = 400
-	linesSampled = 50
+	// logBufferBytes is the size of the queue of lines that wait to be written.
+	logBufferBytes = 256 << 10
+	// logCloseTimeout limits the time to write the last lines.
+	logCloseTimeout = 300 * time.Millisecond
+	// logSampleFirst is the number of lines with the same message that are written in a second; of
+	// further ones, every logSampleThereafter-th is.
+	logSampleFirst      = 400
+	logSampleThereafter = 50
 )
 
-// settingsFlag is the flag that names the settings file.
+// settingsFlag is the flag with the path of the settings file.
 type settingsFlag struct{ path string }
 
 func (s *settingsFlag) register(flags *flag.FlagSet) {
 	flags.StringVar(&s.path, "settings", os.Getenv(settingsVariable), "settings `file`")
 }
 
-// runCommand runs a node until it is told to stop.
+// runCommand runs a node until a signal stops it.
 type runCommand struct{ settings settingsFlag }
 
 // Name implements subcommands.Command.
@@ -70,8 +72,8 @@
 
 // Execute implements subcommands.Command.
 func (c *runCommand) Execute(ctx context.Context, _ *flag.FlagSet, _ ...any) subcommands.ExitStatus {
-	// Signals are taken from the first: one that comes before would end the process
-	// as if it had failed.
+	// Signals are handled from the start: a signal during startup would otherwise kill the process,
+	// which counts as a failure.
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
 	signal.Ignore(syscall.SIGPIPE)
@@ -82,15 +84,15 @@
 		fmt.Fprintln(os.Stderr, err)
 		return subcommands.ExitUsageError
 	}
-	lines := logs.NewWriter(os.Stdout, lineBuffer)
-	defer lines.Close(closeTimeout)
+	lines := logs.NewWriter(os.Stdout, logBufferBytes)
+	defer lines.Close(logCloseTimeout)
 	logger, err := newLogger(settings.LogLevel, lines)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return subcommands.ExitUsageError
 	}
 	logger = logger.With(zap.String("node", settings.Node))
-	boundMemory(settings.MemoryMB)
+	limitMemory(settings.MemoryMB)
 	node := frontend.NewNode(frontend.Options{
 		Settings:     settings,
 		Adapter:      platform.NewAdapter(settings),
@@ -100,7 +102,7 @@
 	})
 	go func() {
 		for range hangups {
-			reload(c.settings.path, logger)
+			checkSettings(c.settings.path, logger)
 		}
 	}()
 	go func() {
@@ -108,26 +110,26 @@
 		node.Leave()
 	}()
 	if err := node.Run(ctx); err != nil {
-		logger.Error("ended early", zap.Error(err))
+		logger.Error("node failed", zap.Error(err))
 		return subcommands.ExitFailure
 	}
 	return subcommands.ExitSuccess
 }
 
-// reload checks the changed settings. What a node listens on and reads from does
-// not change within its life.
-func reload(path string, logger *zap.Logger) {
+// checkSettings validates the settings file after SIGHUP. It applies no changes: addresses and
+// other settings are fixed for the life of the process.
+func checkSettings(path string, logger *zap.Logger) {
 	if _, err := frontend.LoadSettings(path); err != nil {
-		logger.Error("changed settings refused", zap.Error(err))
+		logger.Error("changed settings are invalid", zap.Error(err))
 		return
 	}
-	logger.Info("settings read again")
+	logger.Info("changed settings are valid and take effect at the next start")
 }
 
-func boundMemory(megabytes int) {
-	debug.SetGCPercent(collectPercent)
+func limitMemory(megabytes int) {
+	debug.SetGCPercent(gcPercent)
 	if megabytes > 0 {
-		debug.SetMemoryLimit(int64(float64(megabytes<<20) * memoryShare))
+		debug.SetMemoryLimit(int64(float64(megabytes<<20) * memoryLimitShare))
 	}
 }
 
@@ -140,5 +142,5 @@
 	encoding.EncodeTime = zapcore.ISO8601TimeEncoder
 	encoding.EncodeDuration = zapcore.MillisDurationEncoder
 	core := zapcore.NewCore(zapcore.NewJSONEncoder(encoding), lines, parsed)
-	return zap.New(zapcore.NewSamplerWithOptions(core, time.Second, linesFull, linesSampled)), nil
+	return zap.New(zapcore.NewSamplerWithOptions(core, time.Second, logSampleFirst, logSampleThereafter)), nil
 }
--- a/cmd/dalehook-node/status.go
+++ b/cmd/dalehook-node/status.go
@@ -15,11 +15,11 @@
 	"dalehook/internal/nodestatus"
 )
 
-// statusCommand shows which build each node runs, and how fresh what it knows is.
+// statusCommand shows the build of each node and the age of its configuration and server list.
 type statusCommand struct{ all bool }
 
-// statusLines is how many nodes a screen shows.
-const statusLines = 40
+// screenLines is the number of nodes shown without -all.
+const screenLines = 40
 
 // Name implements subcommands.Command.
 func (*statusCommand) Name() string { return "status" }
@@ -44,35 +44,35 @@
 // Execute implements subcommands.Command.
 func (c *statusCommand) Execute(ctx context.Context, flags *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	if flags.NArg() == 0 {
-		fmt.Fprintln(os.Stderr, "status: name a node")
+		fmt.Fprintln(os.Stderr, "status: at least one node address is required")
 		return subcommands.ExitUsageError
 	}
-	lines := nodestatus.QueryFleet(ctx, flags.Args())
-	shown := lines
+	results := nodestatus.QueryFleet(ctx, flags.Args())
+	shown := results
 	if !c.all {
-		shown = lines[:min(len(lines), statusLines)]
+		shown = results[:min(len(results), screenLines)]
 	}
-	if err := writeStatus(lines, shown); err != nil {
+	if err := writeStatus(results, shown); err != nil {
 		fmt.Fprintln(os.Stderr, "status:", err)
 		return subcommands.ExitFailure
 	}
-	if lines[0].Err != nil {
+	if results[0].Err != nil {
 		return subcommands.ExitFailure
 	}
 	return subcommands.ExitSuccess
 }
 
-func writeStatus(lines, shown []nodestatus.NodeResult) error {
+func writeStatus(results, shown []nodestatus.NodeResult) error {
 	writer := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(writer, "address\tnode\tbuild\tready\tcoordinates\tconfiguration\tread ago\tservers\tread ago")
 	builds := make(map[string]int)
-	for _, line := range lines {
-		if line.Err == nil {
-			builds[line.Build]++
+	for _, result := range results {
+		if result.Err == nil {
+			builds[result.Build]++
 		}
 	}
-	for _, line := range shown {
-		writeLine(writer, line)
+	for _, result := range shown {
+		writeResult(writer, result)
 	}
 	if err := writer.Flush(); err != nil {
 		return err
@@ -80,20 +80,20 @@
 	for _, build := range slices.Sorted(maps.Keys(builds)) {
 		fmt.Printf("%d nodes of build %s\n", builds[build], build)
 	}
-	if hidden := len(lines) - len(shown); hidden > 0 {
+	if hidden := len(results) - len(shown); hidden > 0 {
 		fmt.Printf("%d nodes not shown\n", hidden)
 	}
 	return nil
 }
 
-func writeLine(writer *tabwriter.Writer, line nodestatus.NodeResult) {
+func writeResult(writer *tabwriter.Writer, result nodestatus.NodeResult) {
 	switch {
-	case line.Err != nil:
-		fmt.Fprintf(writer, "%s\tdoes not answer: %v\n", line.Address, line.Err)
-	case line.Build == nodestatus.EarlierBuild:
-		fmt.Fprintf(writer, "%s\t\t%s\n", line.Address, line.Build)
+	case result.Err != nil:
+		fmt.Fprintf(writer, "%s\tdoes not answer: %v\n", result.Address, result.Err)
+	case result.Build == nodestatus.EarlierBuild:
+		fmt.Fprintf(writer, "%s\t\t%s\n", result.Address, result.Build)
 	default:
-		fmt.Fprintf(writer, "%s\t%s\t%s\t%t\t%t\t%d\t%v\t%d\t%v\n", line.Address, line.Node, line.Build, line.Ready, line.Leading, line.Configuration,
-			line.ConfigurationAge.Round(time.Millisecond), line.Servers, line.ListAge.Round(time.Millisecond))
+		fmt.Fprintf(writer, "%s\t%s\t%s\t%t\t%t\t%d\t%v\t%d\t%v\n", result.Address, result.Node, result.Build, result.Ready, result.Leading, result.Configuration,
+			result.ConfigurationAge.Round(time.Millisecond), result.Servers, result.ListAge.Round(time.Millisecond))
 	}
 }
