--- a/internal/frontend/access.go
+++ b/internal/frontend/access.go
@@ -80,7 +80,7 @@
 // configurationAge returns how long ago this node, or the node that relayed the answer, sent the
 // request to the store whose answer last confirmed the newest configuration.
 func (n *Node) configurationAge(now time.Time) time.Duration {
-	return n.configuredAt.age(now)
+	return n.configurationAsOf.age(now)
 }
 
 // operatorReadWait returns the longest poll of the operator topic. In a quiet store the
--- a/internal/frontend/access_test.go
+++ b/internal/frontend/access_test.go
@@ -79,17 +79,17 @@
 		memory.Put(store.TopicOperator, "config", []byte("0"))
 		node, known := startKeyNode(t, &longPollStore{Memory: memory, stale: true, late: 600 * time.Millisecond})
 		time.Sleep(5 * time.Second)
-		served := 0
+		accepted := 0
 		for change := range int64(60) {
 			memory.Put(store.TopicOperator, "config", []byte("revoked"))
 			time.Sleep(testRevocationDelay)
 			if known() < change+1 && !node.keysStale(time.Now()) {
-				served++
+				accepted++
 			}
 			time.Sleep(3*time.Second + time.Duration(change)*41*time.Millisecond)
 		}
-		if served > 0 {
-			t.Errorf("%d of 60 revoked keys are accepted %v later", served, testRevocationDelay)
+		if accepted > 0 {
+			t.Errorf("%d of 60 revoked keys are accepted %v later", accepted, testRevocationDelay)
 		}
 	})
 }
--- a/internal/frontend/fleet_test.go
+++ b/internal/frontend/fleet_test.go
@@ -49,10 +49,10 @@
 // storeBytesPerSecond is the read bandwidth of the platform's store for all nodes together.
 const storeBytesPerSecond = 80e6
 
-func (s *fleetStore) setOutage(kind outage, struck func(node int) bool) {
+func (s *fleetStore) setOutage(kind outage, affected func(node int) bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.kind, s.affected = kind, struck
+	s.kind, s.affected = kind, affected
 }
 
 func (s *fleetStore) outageOf(node int) (outage, bool) {
@@ -82,8 +82,8 @@
 var _ store.Log = nodeLog{}
 
 func (l nodeLog) applyOutage(ctx context.Context) error {
-	kind, struck := l.outageOf(l.node)
-	if !struck {
+	kind, affected := l.outageOf(l.node)
+	if !affected {
 		return ctx.Err()
 	}
 	switch kind {
@@ -227,7 +227,7 @@
 	return newsFrom(n.source)
 }
 
-func (n *fleetNode) learn(records []store.Record) {
+func (n *fleetNode) receive(records []store.Record) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	for _, record := range records {
@@ -281,7 +281,7 @@
 	settings := &Settings{Node: name}
 	following := follow.KeyedOptions{
 		Log: log, Topic: store.TopicOperator, Pace: operatorMinInterval, Wait: operatorPollWait, Large: true, Logger: zap.NewNop(),
-		Replace: node.learn, Change: node.learn, Read: func(int64, bool, time.Time) {}, Relayed: f.relayFunc(node),
+		Replace: node.receive, Change: node.receive, Read: func(int64, bool, time.Time) {}, Relayed: f.relayFunc(node),
 	}
 	if f.large {
 		f.enableFanout(node, name, share, &following)
--- a/internal/frontend/jobreads.go
+++ b/internal/frontend/jobreads.go
@@ -166,7 +166,7 @@
 // wait.
 func (r *jobReader) results(ctx context.Context, job batch.Name, from int, wait time.Duration) (total int, results []batch.Result, verdict Verdict) {
 	source := sourceLocal
-	page := r.knownResults(job, from)
+	page := r.localResults(job, from)
 	if page.Verdict == jobread.Found {
 		page = r.awaitLocalResults(ctx, job, from, wait, page)
 	} else if page = r.forwardResults(ctx, job, from, wait); page.Verdict != jobread.NotFollowed {
@@ -253,8 +253,8 @@
 	return r.storedResults(ctx, job, from)
 }
 
-// knownResults returns a job's results from local records, if these suffice.
-func (r *jobReader) knownResults(job batch.Name, from int) (page jobread.Results) {
+// localResults returns a job's results from local records, if these suffice.
+func (r *jobReader) localResults(job batch.Name, from int) (page jobread.Results) {
 	r.jobs.ViewKnown(job.ID, joblog.HasPosition(from), func(state *batch.State) { page = resultsPage(state, job, from) })
 	return page
 }
--- a/internal/frontend/jobreads_absent_test.go
+++ b/internal/frontend/jobreads_absent_test.go
@@ -17,10 +17,10 @@
 func checkNotReportedAbsent(t *testing.T, node *readerNode, job, item string) {
 	t.Helper()
 	if _, _, verdict := node.results(context.Background(), batch.Name{ID: job}, 0, 0); verdict == VerdictAbsent {
-		t.Errorf("job %s is said to be absent", job)
+		t.Errorf("job %s is reported as absent", job)
 	}
 	if _, verdict := node.itemBody(context.Background(), batch.Name{ID: job}, item); verdict == VerdictAbsent {
-		t.Errorf("item %s is said to be absent", item)
+		t.Errorf("item %s is reported as absent", item)
 	}
 }
 
--- a/internal/frontend/jobreads_bench_test.go
+++ b/internal/frontend/jobreads_bench_test.go
@@ -74,27 +74,27 @@
 		coordinator, stop := startReader(log, func(readSource) {})
 		coordinator.jobs.Subscribe(context.Background(), 0, subscriber{})
 		address := serve(b, coordinator)
-		for _, way := range []string{"coordinator", "index", "partition"} {
-			b.Run(fmt.Sprintf("%s/%d", way, others), func(b *testing.B) {
-				benchmarkColdRead(b, log, way, address)
+		for _, source := range []string{"coordinator", "index", "partition"} {
+			b.Run(fmt.Sprintf("%s/%d", source, others), func(b *testing.B) {
+				benchmarkColdRead(b, log, source, address)
 			})
 		}
 		stop()
 	}
 }
 
-func benchmarkColdRead(b *testing.B, log *countedLog, way, address string) {
+func benchmarkColdRead(b *testing.B, log *countedLog, source, address string) {
 	before := int64(0)
 	for range b.N {
 		node, stop := startReader(log, func(readSource) {})
-		switch way {
+		switch source {
 		case "coordinator":
 			node.observeCoordinator(false, address)
 		case "partition":
 			node.seenAt = time.Now().Add(-takeoverTimeout)
 		}
 		before = log.bytes.Load()
-		if way == "partition" {
+		if source == "partition" {
 			node.jobs.Follow(context.Background(), 0)
 		}
 		_, results, verdict := node.results(context.Background(), batch.Name{ID: "job"}, benchItems-10, 0)
--- a/internal/frontend/jobreads_test.go
+++ b/internal/frontend/jobreads_test.go
@@ -110,8 +110,8 @@
 	appendIndex(t, memory, "job", 0)
 	coordinator := newReaderNode(t, memory)
 	coordinator.jobs.Subscribe(context.Background(), 0, subscriber{})
-	beginner := newReaderNode(t, memory)
-	beginner.jobs.Follow(context.Background(), 0)
+	newCoordinator := newReaderNode(t, memory)
+	newCoordinator.jobs.Follow(context.Background(), 0)
 	gone := listen(t)
 	gone.Close()
 	cases := []struct {
@@ -120,7 +120,7 @@
 		most          time.Duration
 	}{
 		{"no coordinator", "", sourceStore, time.Second},
-		{"just started", serve(t, beginner), sourceCoordinator, time.Second},
+		{"just started", serve(t, newCoordinator), sourceCoordinator, time.Second},
 		{"healthy", serve(t, coordinator), sourceCoordinator, time.Second},
 		{"gone", gone.Addr().String(), sourceStore, time.Second},
 		{"hangs", listen(t).Addr().String(), sourceStore, forwardTimeout + time.Second},
--- a/internal/frontend/largeconfig_test.go
+++ b/internal/frontend/largeconfig_test.go
@@ -66,14 +66,14 @@
 }
 
 // expectWithin checks that all nodes have a value within a time, and logs when they did.
-func (f *largeFleet) expectWithin(value []byte, within time.Duration) {
+func (f *largeFleet) expectWithin(value []byte, timeout time.Duration) {
 	f.t.Helper()
 	began := time.Now()
-	for time.Since(began) < within && f.countMissing(value) > 0 {
+	for time.Since(began) < timeout && f.countMissing(value) > 0 {
 		time.Sleep(50 * time.Millisecond)
 	}
-	if without := f.countMissing(value); without > 0 {
-		f.t.Errorf("%d of %d nodes do not have the value after %v", without, len(f.nodes), within)
+	if missing := f.countMissing(value); missing > 0 {
+		f.t.Errorf("%d of %d nodes do not have the value after %v", missing, len(f.nodes), timeout)
 		return
 	}
 	f.t.Logf("all %d nodes have the value after %v", len(f.nodes), time.Since(began))
@@ -160,7 +160,7 @@
 	value := largeConfigurations()["noise"]
 	for _, kind := range []outage{outageRefuses, outageSilent} {
 		for _, withCoordinator := range []bool{false, true} {
-			t.Run(fmt.Sprintf("kind %d, the coordinator too %v", kind, withCoordinator), func(t *testing.T) {
+			t.Run(fmt.Sprintf("kind %d, coordinator affected %v", kind, withCoordinator), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
 					f := startLargeFleet(t, wholeFleetNodes, []byte("first"))
 					defer f.end()
--- a/internal/frontend/node.go
+++ b/internal/frontend/node.go
@@ -97,7 +97,7 @@
 	operatorMinInterval = 30 * time.Millisecond
 	operatorPollWait    = time.Second
 	// drainNotice is how long a node that shuts down still accepts connections after it reports
-	// itself as not ready, so that load balancers can take it out.
+	// itself as not ready, so that new connections go to other nodes.
 	drainNotice = 2700 * time.Millisecond
 	// exitReserve is the part of the grace period that is kept for the exit of the process.
 	exitReserve = 1200 * time.Millisecond
@@ -126,12 +126,12 @@
 	operatorSource *fanout.Source
 	// storeAnsweredAt is when any call of this node to the store last succeeded.
 	storeAnsweredAt latestTime
-	// configuredAt is when this node, or the one that relayed the answer, sent the request to the
-	// store whose answer last confirmed the newest configuration.
-	configuredAt latestTime
-	leaving      atomic.Bool
-	leave        chan struct{}
-	directory    *directory.Directory
+	// configurationAsOf is when this node, or the one that relayed the answer, sent the request to
+	// the store whose answer last confirmed the newest configuration.
+	configurationAsOf latestTime
+	leaving           atomic.Bool
+	leave             chan struct{}
+	directory         *directory.Directory
 	// zones tracks the evacuated zones.
 	zones       evacuatedZones
 	servers     *serverlist.List
@@ -377,14 +377,14 @@
 	}
 }
 
-// replaceOperator handles a complete read of the operator topic: the newest record of each key. An
-// evacuation that isn't among them was cancelled.
-func (n *Node) replaceOperator(records []store.Record) {
+// replaceOperatorRecords handles a complete read of the operator topic: the newest record of each
+// key. An evacuation that isn't among them was cancelled.
+func (n *Node) replaceOperatorRecords(records []store.Record) {
 	n.zones.clear()
-	n.handleOperator(records)
+	n.handleOperatorRecords(records)
 }
 
-func (n *Node) handleOperator(records []store.Record) {
+func (n *Node) handleOperatorRecords(records []store.Record) {
 	defer n.zones.apply()
 	for _, record := range records {
 		if zone, evacuated, ok := n.options.Adapter.Evacuation(record); ok {
--- a/internal/frontend/operatorfollow.go
+++ b/internal/frontend/operatorfollow.go
@@ -22,7 +22,7 @@
 func (n *Node) operatorFollowOptions(log store.Log) follow.KeyedOptions {
 	return follow.KeyedOptions{
 		Log: log, Topic: store.TopicOperator, Pace: operatorMinInterval, Wait: n.operatorReadWait(), Large: true, Logger: n.options.Logger.Named("operator"),
-		Replace: n.replaceOperator, Change: n.handleOperator, Read: n.recordOperatorRead, Relayed: n.readOperatorRelayed,
+		Replace: n.replaceOperatorRecords, Change: n.handleOperatorRecords, Read: n.recordOperatorRead, Relayed: n.readOperatorRelayed,
 		Guide: n.operatorGuide, Fetch: n.fetchOperator, Took: n.operatorSource.Take,
 	}
 }
@@ -80,7 +80,7 @@
 // recordOperatorFreshness records that this node has all records that the operator topic held at a
 // time.
 func (n *Node) recordOperatorFreshness(at time.Time) {
-	n.configuredAt.advance(at)
+	n.configurationAsOf.advance(at)
 	n.operatorSource.NoteAsked(at)
 }
 
--- a/internal/frontend/outage_test.go
+++ b/internal/frontend/outage_test.go
@@ -24,10 +24,10 @@
 	all := func(int) bool { return true }
 	third := func(node int) bool { return node%3 == 0 }
 	cases := []struct {
-		name   string
-		kind   outage
-		struck func(int) bool
-		lasts  time.Duration
+		name     string
+		kind     outage
+		affected func(int) bool
+		duration time.Duration
 	}{
 		{"refuses all for 1 s", outageRefuses, all, time.Second},
 		{"refuses all for 7 s", outageRefuses, all, 7 * time.Second},
@@ -39,15 +39,19 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { testOutage(t, fleetNodes, c.kind, c.struck, c.lasts, sizeSmall, recoveryTimeout) })
+			synctest.Test(t, func(t *testing.T) {
+				testOutage(t, fleetNodes, c.kind, c.affected, c.duration, sizeSmall, recoveryTimeout)
+			})
 		})
 		t.Run(c.name+", whole fleet", func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				testOutage(t, wholeFleetNodes, c.kind, c.struck, c.lasts, sizeSmall, recoveryTimeout)
+				testOutage(t, wholeFleetNodes, c.kind, c.affected, c.duration, sizeSmall, recoveryTimeout)
 			})
 		})
 		t.Run(c.name+", large configuration", func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { testOutage(t, fleetNodes, c.kind, c.struck, c.lasts, sizeLarge, largeApplyTimeout) })
+			synctest.Test(t, func(t *testing.T) {
+				testOutage(t, fleetNodes, c.kind, c.affected, c.duration, sizeLarge, largeApplyTimeout)
+			})
 		})
 	}
 }
@@ -61,7 +65,7 @@
 func TestNodesThatTheStoreTurnsAwayLearnOfChanges(t *testing.T) {
 	for _, kind := range []outage{outageRefuses, outageSilent, outageResets, outageSlow} {
 		for _, withCoordinator := range []bool{false, true} {
-			t.Run(fmt.Sprintf("kind %d, the coordinator too %v", kind, withCoordinator), func(t *testing.T) {
+			t.Run(fmt.Sprintf("kind %d, coordinator affected %v", kind, withCoordinator), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) { testChangesDuringOutage(t, wholeFleetNodes, kind, withCoordinator) })
 			})
 		}
@@ -94,8 +98,8 @@
 		size := sizeBefore + change
 		f.put(size)
 		time.Sleep(outageApplyTimeout)
-		if unaware := f.countWithout(size); unaware > 0 {
-			t.Errorf("change %d: %d nodes do not have it after %v", change, unaware, outageApplyTimeout)
+		if missing := f.countWithout(size); missing > 0 {
+			t.Errorf("change %d: %d nodes do not have it after %v", change, missing, outageApplyTimeout)
 		}
 	}
 }
@@ -125,8 +129,8 @@
 	defer cancel()
 	f.put(sizeBefore)
 	time.Sleep(5 * time.Second)
-	if holders, unaware := f.holders(), f.countWithout(sizeBefore); holders != 1 || unaware > 0 {
-		t.Fatalf("before the outage: %d holders, %d nodes without the configuration", holders, unaware)
+	if holders, missing := f.holders(), f.countWithout(sizeBefore); holders != 1 || missing > 0 {
+		t.Fatalf("before the outage: %d holders, %d nodes without the configuration", holders, missing)
 	}
 	f.store.setOutage(kind, affected)
 	time.Sleep(duration / 2)
@@ -138,7 +142,7 @@
 		t.Errorf("%d nodes hold the lease %v after the outage", holders, recoveryTimeout)
 	}
 	time.Sleep(applyTimeout - recoveryTimeout)
-	if unaware := f.countWithout(size); unaware > 0 {
-		t.Errorf("%d nodes do not have the configuration %v after the outage", unaware, applyTimeout)
+	if missing := f.countWithout(size); missing > 0 {
+		t.Errorf("%d nodes do not have the configuration %v after the outage", missing, applyTimeout)
 	}
 }
--- a/internal/frontend/settings.go
+++ b/internal/frontend/settings.go
@@ -129,9 +129,9 @@
 
 func (s *Settings) validate() error {
 	var errs []error
-	require := func(holds bool, fault string) {
+	require := func(holds bool, message string) {
 		if !holds {
-			errs = append(errs, errors.New(fault))
+			errs = append(errs, errors.New(message))
 		}
 	}
 	require(s.Node != "", "node is missing")
