--- a/internal/frontend/operatorfollow_test.go
+++ b/internal/frontend/operatorfollow_test.go
@@ -12,7 +12,7 @@
 
 // A coordinator tells the others how far the operator's topic goes in a large fleet alone, and not where nodes refuse
 // keys that they are not sure of.
-func TestWhenACoordinatorTells(t *testing.T) {
+func TestCoordinatorAnnouncesOnlyInLargeFleets(t *testing.T) {
 	cases := []struct {
 		name              string
 		servers           int
@@ -21,8 +21,8 @@
 	}{
 		{"a large fleet", serverlist.DefaultLargeFleetSize, false, true, true},
 		{"a small fleet", serverlist.DefaultLargeFleetSize - 1, false, true, false},
-		{"a large fleet that refuses old keys", serverlist.DefaultLargeFleetSize, true, true, false},
-		{"a coordinator that has not read it", serverlist.DefaultLargeFleetSize, false, false, false},
+		{"a large fleet with fail_closed", serverlist.DefaultLargeFleetSize, true, true, false},
+		{"a coordinator that has not read the topic", serverlist.DefaultLargeFleetSize, false, false, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
