--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -55,7 +55,7 @@
 	State(ctx context.Context, server scheduler.Server, model string) (EngineState, error)
 	// Load orders an engine to load a version, provided that it has taken the
 	// given number of orders.
-	Load(ctx context.Context, order scheduler.Order, orders int64) (OrderAnswer, error)
+	Load(ctx context.Context, order scheduler.LoadOrder, orders int64) (OrderAnswer, error)
 }
 
 // Observer counts what the coordinator does.
@@ -171,7 +171,7 @@
 	}
 	if late := now.Sub(c.tickedAt) - tickInterval; late > lateTick {
 		c.options.Logger.Info("stood still", zap.Duration("lasted", late))
-		machine.HandleStoodStill(now, late)
+		machine.HandleProcessPause(now, late)
 	}
 	c.tickedAt = now
 	machine.Tick(now)
@@ -196,7 +196,7 @@
 		return
 	}
 	apply(clock.Now(), c.machine)
-	c.carryOut(c.machine.Take())
+	c.carryOut(c.machine.TakeOutput())
 }
 
 // stateInterval is the time between two logs of the scheduler's state.
@@ -299,5 +299,5 @@
 		return
 	}
 	apply(clock.Now())
-	c.carryOut(machine.Take())
+	c.carryOut(machine.TakeOutput())
 }
--- a/internal/coordinator/follower.go
+++ b/internal/coordinator/follower.go
@@ -30,9 +30,9 @@
 				zap.Int64("epoch", f.coordinator.termEpoch))
 			f.machine.HandleJob(now, partition, change.Accepted.Job, change.Accepted.Results)
 		case change.Listed != nil:
-			f.machine.HandleListed(now, change.Listed)
+			f.machine.HandleResult(now, change.Listed)
 		case change.Ended != nil:
-			f.machine.HandleEnded(now, change.Ended.Job.ID)
+			f.machine.HandleJobEnd(now, change.Ended.Job.ID)
 		}
 	})
 }
@@ -46,7 +46,7 @@
 
 // HandleFresh implements joblog.Subscriber.
 func (f *follower) HandleFresh(partition int, since time.Time) {
-	f.coordinator.inputOf(f.machine, func(now time.Time) { f.machine.HandleFresh(now, partition, since) })
+	f.coordinator.inputOf(f.machine, func(now time.Time) { f.machine.HandlePartitionRead(now, partition, since) })
 }
 
 // indexJob tells readers where a job begins. The mutex is held.
--- a/internal/coordinator/handover.go
+++ b/internal/coordinator/handover.go
@@ -78,7 +78,7 @@
 // startNothingLocked has the term start and order nothing any more; its runs go on.
 func (c *Coordinator) startNothingLocked() {
 	c.machine.Resign(clock.Now())
-	c.carryOut(c.machine.Take())
+	c.carryOut(c.machine.TakeOutput())
 }
 
 // HandOver ends the runs of a term that was given up, and returns what its successor needs; the
@@ -98,7 +98,7 @@
 func (c *Coordinator) handOverLocked() {
 	c.writer.dropProgress()
 	c.machine.SaveCheckpoints(clock.Now())
-	output := c.machine.Take()
+	output := c.machine.TakeOutput()
 	// The texts go to the successor all together: what the writer had appended of them by now
 	// would be missing from what is pending there.
 	progress := c.progressRecords(output.Progress)
--- a/internal/coordinator/handover_test.go
+++ b/internal/coordinator/handover_test.go
@@ -33,7 +33,7 @@
 	return EngineState{Version: 1}, nil
 }
 
-func (oneEvent) Load(context.Context, scheduler.Order, int64) (OrderAnswer, error) {
+func (oneEvent) Load(context.Context, scheduler.LoadOrder, int64) (OrderAnswer, error) {
 	return OrderHolds, nil
 }
 
--- a/internal/coordinator/load.go
+++ b/internal/coordinator/load.go
@@ -29,7 +29,7 @@
 var errEngineBusy = errors.New("engine has another order under way")
 
 // load carries out an order and waits until the engine has the version.
-func (c *Coordinator) load(term context.Context, machine *scheduler.Machine, order scheduler.Order) {
+func (c *Coordinator) load(term context.Context, machine *scheduler.Machine, order scheduler.LoadOrder) {
 	began := clock.Now()
 	ctx, cancel := context.WithTimeout(term, loadTimeout)
 	defer cancel()
@@ -39,13 +39,13 @@
 		zap.Duration("took", clock.Since(began)), zap.Error(err))
 	c.options.Observer.ObserveLoad(err == nil && version >= order.Version)
 	c.inputOf(machine, func(now time.Time) {
-		machine.HandleLoad(now, order.Server, order.Model, scheduler.Load{Ordered: ordered && err == nil, Version: version})
+		machine.HandleLoad(now, order.Server, order.Model, scheduler.LoadResult{Confirmed: ordered && err == nil, Version: version})
 	})
 }
 
 // order returns the version that the engine has afterwards, 0 when that is not
 // known, and whether the engine took the order and was seen to carry it out.
-func (c *Coordinator) order(ctx context.Context, order scheduler.Order) (version int64, ordered bool, err error) {
+func (c *Coordinator) order(ctx context.Context, order scheduler.LoadOrder) (version int64, ordered bool, err error) {
 	state, err := c.state(ctx, order)
 	if err != nil {
 		return 0, false, err
@@ -77,21 +77,21 @@
 }
 
 // mayOrder checks the lease once more right before an order leaves.
-func (c *Coordinator) mayOrder(order scheduler.Order) bool {
+func (c *Coordinator) mayOrder(order scheduler.LoadOrder) bool {
 	clock.Refresh()
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.machine != nil && !c.resigned && c.lease.Epoch == order.Epoch && clock.Now().Before(c.lease.Until)
 }
 
-func (c *Coordinator) state(ctx context.Context, order scheduler.Order) (EngineState, error) {
+func (c *Coordinator) state(ctx context.Context, order scheduler.LoadOrder) (EngineState, error) {
 	ctx, cancel := context.WithTimeout(ctx, engineCallTimeout)
 	defer cancel()
 	return c.options.Engines.State(ctx, order.Server, order.Model)
 }
 
 // await looks at the engine until it has the version or is idle without it.
-func (c *Coordinator) await(ctx context.Context, order scheduler.Order, look time.Duration, cause error) (int64, error) {
+func (c *Coordinator) await(ctx context.Context, order scheduler.LoadOrder, look time.Duration, cause error) (int64, error) {
 	for pause.For(ctx, look) {
 		state, err := c.state(ctx, order)
 		if err != nil {
--- a/internal/coordinator/suspended_test.go
+++ b/internal/coordinator/suspended_test.go
@@ -16,7 +16,7 @@
 	c := New(Options{})
 	c.machine = scheduler.NewMachine(scheduler.Options{})
 	c.lease = election.Lease{Epoch: 3, Until: clock.Now().Add(2 * time.Second)}
-	order := scheduler.Order{Epoch: 3}
+	order := scheduler.LoadOrder{Epoch: 3}
 	if !c.mayOrder(order) {
 		t.Fatal("no order under a lease in force")
 	}
--- a/internal/coordinator/term.go
+++ b/internal/coordinator/term.go
@@ -104,7 +104,7 @@
 // handleRecovered gives the scheduler of a term what is saved for the jobs of a partition, by
 // item, and returns the number of items.
 func (c *Coordinator) handleRecovered(machine *scheduler.Machine, number int, partials map[string]*batch.Partial) int64 {
-	c.inputOf(machine, func(now time.Time) { machine.HandleRecovered(now, number, partials) })
+	c.inputOf(machine, func(now time.Time) { machine.HandleRecoveredProgress(now, number, partials) })
 	return int64(len(partials))
 }
 
--- a/internal/scheduler/assign.go
+++ b/internal/scheduler/assign.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// schedule starts what can be started, and orders loads.
+// schedule starts waiting items, sends reward calls and orders weight loads.
 func (m *Machine) schedule(now time.Time) {
 	if m.resigned {
 		return
@@ -15,33 +15,33 @@
 	m.orderLoads(now)
 }
 
-// startWaiting starts what can be started, job by job.
+// startWaiting starts waiting items, job by job in order of arrival.
 func (m *Machine) startWaiting(now time.Time) {
 	if m.resigned {
 		return
 	}
 	engines := m.sortedEngines()
-	var usual map[string]float64
-	for _, open := range m.sortedJobs() {
-		if len(open.queue) == 0 {
+	var medians map[string]float64
+	for _, job := range m.sortedJobs() {
+		if len(job.queue) == 0 {
 			continue
 		}
-		if usual == nil {
-			usual = usualGaps(engines)
+		if medians == nil {
+			medians = medianGaps(engines)
 		}
-		m.startItems(now, open, engines, usual)
+		m.startItems(now, job, engines, medians)
 	}
 }
 
-// startItems starts a job's waiting items while engines have room. Usual are the usual times
-// between events, by service.
-func (m *Machine) startItems(now time.Time, open *job, engines []*engine, usual map[string]float64) {
-	if open.route == nil || !m.isFresh(now, open.partition) {
+// startItems starts a job's waiting items while engines have free slots. medians holds the median
+// gap between events of each service.
+func (m *Machine) startItems(now time.Time, owner *job, engines []*engine, medians map[string]float64) {
+	if owner.route == nil || !m.isFresh(now, owner.partition) {
 		return
 	}
-	waiting := open.queue[:0]
+	waiting := owner.queue[:0]
 	full := false
-	for _, next := range open.queue {
+	for _, next := range owner.queue {
 		if next.finished {
 			continue
 		}
@@ -49,99 +49,101 @@
 			waiting = append(waiting, next)
 			continue
 		}
-		chosen := m.chooseOrRestart(now, next, engines, usual[next.service])
+		chosen := m.chooseOrRestart(now, next, engines, medians[next.service])
 		if chosen == nil {
-			// An engine that may not go on with one item's text, or take a suspect, may take the next item.
-			full = len(open.route.Targets) <= 1 && !next.isBound() && m.suspicion(next).Ends == 0
+			// Version pinning and isolation of suspects restrict this item only: later items may
+			// still find an engine.
+			full = len(owner.route.Targets) <= 1 && !next.isPinnedToVersion() && m.suspicion(next).Ends == 0
 			waiting = append(waiting, next)
 			continue
 		}
-		m.start(now, next, chosen)
+		m.startAttempt(now, next, chosen)
 	}
-	clear(open.queue[len(waiting):])
-	open.queue = waiting
+	clear(owner.queue[len(waiting):])
+	owner.queue = waiting
 }
 
-// isFresh says whether a partition was read lately enough for items of its jobs to
-// cause requests: none of them may have ended long ago.
+// isFresh reports whether a partition was read recently enough to start items of its jobs. It
+// bounds the work done for jobs that have already ended.
 func (m *Machine) isFresh(now time.Time, partition int) bool {
-	return now.Sub(m.fresh[partition]) <= m.options.FreshnessLimit
+	return now.Sub(m.lastRead[partition]) <= m.options.FreshnessLimit
 }
 
 const (
-	// slowPatience is how long an item waits for another slot before it takes an engine
-	// known to be slow. Half of the items end within this time; a run on a slow engine is
-	// moved after 1.2 to 1.5 s.
-	slowPatience = 800 * time.Millisecond
-	// paceFreshFor is how long an engine counts as slow without a new sample of its pace.
-	paceFreshFor = 3 * time.Second
+	// slowEnginePatience is how long an item waits for another slot before it takes an engine
+	// known to be slow. Half of the items end within this time; a run on a slow engine is moved
+	// after 1.2 to 1.5 s.
+	slowEnginePatience = 800 * time.Millisecond
+	// slowEngineExpiry is how long an engine counts as slow without a new sample of its gap.
+	slowEngineExpiry = 3 * time.Second
 )
 
-// usualGaps returns the median of the gaps that are known, by service; services without one
-// are left out.
-func usualGaps(engines []*engine) map[string]float64 {
+// medianGaps returns the median event gap of each service. Services without a known gap are left
+// out.
+func medianGaps(engines []*engine) map[string]float64 {
 	gaps := make(map[string][]float64)
-	for _, known := range engines {
-		if known.listed && known.gap > 0 {
-			gaps[known.service] = append(gaps[known.service], known.gap)
+	for _, eng := range engines {
+		if eng.listed && eng.gap > 0 {
+			gaps[eng.service] = append(gaps[eng.service], eng.gap)
 		}
 	}
-	usual := make(map[string]float64, len(gaps))
-	for service, known := range gaps {
-		slices.Sort(known)
-		usual[service] = known[len(known)/2]
+	medians := make(map[string]float64, len(gaps))
+	for service, serviceGaps := range gaps {
+		slices.Sort(serviceGaps)
+		medians[service] = serviceGaps[len(serviceGaps)/2]
 	}
-	return usual
+	return medians
 }
 
-// isSlow says whether an engine is known to be much slower than usual now.
-func (e *engine) isSlow(now time.Time, usual float64) bool {
-	return usual > 0 && e.gap > muchSlower*usual && now.Sub(e.pacedAt) < paceFreshFor
+// isSlow reports whether an engine has a recent gap well above the median of its service.
+func (e *engine) isSlow(now time.Time, medianGap float64) bool {
+	return medianGap > 0 && e.gap > slowEngineFactor*medianGap && now.Sub(e.gapSampledAt) < slowEngineExpiry
 }
 
-// boundPatience is how long an item waits for an engine that may go on with its text, before it
-// starts anew elsewhere. It is as long as an item waits for a better engine than a slow one.
-const boundPatience = slowPatience
+// pinnedVersionPatience is how long an item waits for an engine that may continue its text before
+// it restarts on another version. It equals the wait for an engine that is not slow.
+const pinnedVersionPatience = slowEnginePatience
 
-// chooseOrRestart returns the engine where an item is to run, or nil. Usual is as for choose. A
-// text of a single version is forgotten where only engines of other versions have room.
-func (m *Machine) chooseOrRestart(now time.Time, next *item, engines []*engine, usual float64) *engine {
-	chosen := m.choose(now, next, engines, usual)
-	if chosen != nil || !next.isBound() || now.Sub(next.waitingSince) < boundPatience {
+// chooseOrRestart returns the engine to run an item on, or nil. It discards a single-version text
+// when only engines with other versions have free slots.
+func (m *Machine) chooseOrRestart(now time.Time, next *item, engines []*engine, medianGap float64) *engine {
+	chosen := m.chooseEngine(now, next, engines, medianGap)
+	if chosen != nil || !next.isPinnedToVersion() || now.Sub(next.waitingSince) < pinnedVersionPatience {
 		return chosen
 	}
-	anew := *next
-	anew.restart()
-	chosen = m.choose(now, &anew, engines, usual)
+	restarted := *next
+	restarted.discardText()
+	chosen = m.chooseEngine(now, &restarted, engines, medianGap)
 	if chosen != nil {
-		next.restart()
+		next.discardText()
 	}
 	return chosen
 }
 
-// isBound says whether only engines of one version may go on with an item's text.
-func (i *item) isBound() bool {
+// isPinnedToVersion reports whether the item's text may only be continued by engines with the
+// version that generated it.
+func (i *item) isPinnedToVersion() bool {
 	return i.job.route != nil && i.job.route.SingleVersion && len(i.versions) > 0
 }
 
-// choose returns the engine where an item is to run, or nil. Usual is the usual time between
-// events of the item's service, 0 when none is known.
-func (m *Machine) choose(now time.Time, next *item, engines []*engine, usual float64) *engine {
+// chooseEngine returns the engine with the lowest cost for an item, or nil. medianGap is the
+// median gap between events of the item's service, or 0 if unknown.
+func (m *Machine) chooseEngine(now time.Time, next *item, engines []*engine, medianGap float64) *engine {
 	var best *engine
 	var bestCost float64
-	patient := now.Sub(next.waitingSince) < slowPatience
-	known := m.suspicion(next)
-	if !m.mayRunNow(next, known) {
+	patient := now.Sub(next.waitingSince) < slowEnginePatience
+	suspicion := m.suspicion(next)
+	if !m.allowedBySuspicion(next, suspicion) {
 		return nil
 	}
 	for _, candidate := range engines {
-		if !m.mayRun(now, next, candidate) || patient && candidate.isSlow(now, usual) {
+		if !m.canRun(now, next, candidate) || patient && candidate.isSlow(now, medianGap) {
 			continue
 		}
-		if known.Ends >= apartFrom && m.runsSuspect(candidate) {
+		if suspicion.Ends >= isolationThreshold && m.runsSuspect(candidate) {
 			continue
 		}
-		cost := candidate.cost(now, next) + suspectCost(known, candidate)
+		cost := candidate.cost(now, next) + suspectCost(suspicion, candidate)
 		if best == nil || cost < bestCost {
 			best, bestCost = candidate, cost
 		}
@@ -149,74 +151,77 @@
 	return best
 }
 
-// mayRun says whether an engine may take an item now.
-func (m *Machine) mayRun(now time.Time, next *item, candidate *engine) bool {
+// canRun reports whether an engine can take an item now.
+func (m *Machine) canRun(now time.Time, next *item, candidate *engine) bool {
 	if !candidate.listed || candidate.service != next.service || candidate.loading || candidate.draining {
 		return false
 	}
-	if len(candidate.attempts) >= candidate.slots || now.Before(candidate.pausedUntil) || candidate.isSaturated(now) {
+	if len(candidate.attempts) >= candidate.slots || now.Before(candidate.pausedUntil) || candidate.atWarmUpLimit(now) {
 		return false
 	}
 	version := candidate.versions[next.job.model]
 	if version < next.job.minimum {
 		return false
 	}
-	return !m.mixesVersions(next, version)
+	return !m.wouldMixVersions(next, version)
 }
 
 const (
-	// foreignPenalty is added to the cost of an engine that belongs to another model.
-	foreignPenalty = 10
-	// silentPenalty is added to the cost of an engine that did not answer a run. One may hold an
-	// item up for longer than it is left alone afterwards, so that a few of them would hand the
-	// item on among themselves. It is above all that engines differ by otherwise.
-	silentPenalty = 1000
-	// silentFor is how long that counts. Longer than it takes to try some others, and
-	// short enough for an engine that answers again to be of use.
-	silentFor = 5 * time.Second
+	// otherModelPenalty is added to the cost of an engine that is assigned to another model.
+	otherModelPenalty = 10
+	// unresponsivePenalty is added to the cost of an engine that did not respond to a run. A run
+	// can wait on such an engine for longer than the engine is paused afterwards, so that without
+	// the penalty a few of them would pass the item among themselves. It exceeds all other cost
+	// differences.
+	unresponsivePenalty = 1000
+	// unresponsivePeriod is how long an engine counts as unresponsive: long enough to try several
+	// others, and short enough to use it again after it recovers.
+	unresponsivePeriod = 5 * time.Second
 )
 
-// isSilent says whether an engine did not answer a run lately, nor any since.
-func (e *engine) isSilent(now time.Time) bool {
-	return !e.silentAt.IsZero() && now.Sub(e.silentAt) < silentFor
+// isUnresponsive reports whether an engine recently failed to respond to a run and has produced no
+// event since.
+func (e *engine) isUnresponsive(now time.Time) bool {
+	return !e.unresponsiveAt.IsZero() && now.Sub(e.unresponsiveAt) < unresponsivePeriod
 }
 
-// loadWeight is by how much an engine's pace counts as slower with all slots in use.
-// It is more than events come slower by, so that engines of about one pace share the
-// items, and the long ones among them, and less than slow engines are slower by.
-const loadWeight = 0.25
+// occupancyWeight is the relative increase of the cost of an engine with all slots in use. It is
+// above the actual slowdown, so that engines of similar speed share the items, long ones included,
+// and below the difference to a slow engine.
+const occupancyWeight = 0.25
 
 // cost rates an engine for an item; lower is better.
 func (e *engine) cost(now time.Time, next *item) float64 {
-	cost := 1 + loadWeight*float64(len(e.attempts))/float64(max(e.slots, 1))
+	cost := 1 + occupancyWeight*float64(len(e.attempts))/float64(max(e.slots, 1))
 	cost *= max(e.gap, minimumGap)
 	if e.model != next.job.model {
-		cost += foreignPenalty
+		cost += otherModelPenalty
 	}
-	if e.isSilent(now) {
-		cost += silentPenalty
+	if e.isUnresponsive(now) {
+		cost += unresponsivePenalty
 	}
 	return cost
 }
 
-// minimumGap, in seconds, stands for the gap between events that is not known yet.
+// minimumGap is the lower bound of the gap between events in costs, in seconds. It also stands for
+// an unknown gap.
 const minimumGap = 0.005
 
-func (m *Machine) start(now time.Time, next *item, chosen *engine) {
+func (m *Machine) startAttempt(now time.Time, next *item, chosen *engine) {
 	m.lastID++
-	begun := &attempt{id: m.lastID, item: next, engine: chosen, begun: now, lastSeen: now}
-	next.attempt = begun
+	started := &attempt{id: m.lastID, item: next, engine: chosen, startedAt: now, lastEventAt: now}
+	next.attempt = started
 	next.unsaved = unsaved{from: next.lastID}
 	next.checkpointAt = time.Time{}
-	m.attempts[begun.id] = begun
-	chosen.attempts[begun.id] = begun
-	chosen.starts.Sent(now)
+	m.attempts[started.id] = started
+	chosen.attempts[started.id] = started
+	chosen.recentStarts.Sent(now)
 	expected := int64(0)
 	if next.job.route.SingleVersion {
 		expected = chosen.versions[next.job.model]
 	}
 	m.output.Starts = append(m.output.Starts, Start{
-		Attempt:       begun.id,
+		Attempt:       started.id,
 		JobID:         next.job.id,
 		Host:          next.job.host,
 		Tenant:        next.job.tenant,
@@ -230,7 +235,7 @@
 			Version:  chosen.versions[next.job.model],
 			Attempts: len(chosen.attempts) - 1,
 			Gap:      time.Duration(chosen.gap * float64(time.Second)),
-			ReadAge:  now.Sub(m.fresh[next.job.partition]),
+			ReadAge:  now.Sub(m.lastRead[next.job.partition]),
 		},
 	})
 }
--- a/internal/scheduler/attempts.go
+++ b/internal/scheduler/attempts.go
@@ -7,7 +7,7 @@
 	"dalehook/internal/batch"
 )
 
-// cancel asks for the end of an attempt; its slot is free once it has ended.
+// cancel requests the end of an attempt. Its slot is freed when the attempt has ended.
 func (m *Machine) cancel(running *attempt) {
 	if running == nil || running.cancelled {
 		return
@@ -16,21 +16,21 @@
 	m.output.Cancels = append(m.output.Cancels, Cancel{Attempt: running.id})
 }
 
-// HandleEvent takes one event of an attempt.
+// HandleEvent processes one event of an attempt.
 func (m *Machine) HandleEvent(now time.Time, id AttemptID, event Event) {
 	running := m.attempts[id]
 	if running == nil || running.cancelled {
 		return
 	}
 	owner := running.item
-	if event.Version < owner.job.minimum || m.mixesVersions(owner, event.Version) {
+	if event.Version < owner.job.minimum || m.wouldMixVersions(owner, event.Version) {
 		running.engine.versions[owner.job.model] = event.Version
-		owner.restart()
+		owner.discardText()
 		m.cancel(running)
 		return
 	}
 	running.observe(now)
-	owner.refused = 0
+	owner.refusals = 0
 	running.engine.versions[owner.job.model] = max(running.engine.versions[owner.job.model], event.Version)
 	owner.text = append(owner.text, event.Data)
 	owner.lastID = event.ID
@@ -39,53 +39,53 @@
 	owner.unsaved.versions = batch.MergeVersions(owner.unsaved.versions, []int64{event.Version})
 }
 
-func (m *Machine) mixesVersions(owner *item, version int64) bool {
-	return owner.isBound() && owner.versions[0] != version
+func (m *Machine) wouldMixVersions(owner *item, version int64) bool {
+	return owner.isPinnedToVersion() && owner.versions[0] != version
 }
 
-// restart forgets the text of earlier attempts.
-func (i *item) restart() {
+// discardText drops the text of earlier attempts, so that the item starts over.
+func (i *item) discardText() {
 	i.text, i.versions, i.lastID = nil, nil, ""
 	i.unsaved = unsaved{}
 }
 
-// An engine's pace is taken over several events of a run, since events that were held
-// up come all at once.
+// The event gap of an engine is sampled over several events of a run, since delayed events arrive
+// in bursts.
 const (
-	// paceEvents is the number of events after which a run gives a sample, paceTime
-	// the time after which fewer do, but no less than paceFewest.
-	paceEvents = 8
-	paceFewest = 3
-	paceTime   = 300 * time.Millisecond
-	// paceSmoothing is the weight of the newest sample.
-	paceSmoothing = 0.35
+	// A sample is complete after gapSampleEvents events, or after gapSampleTime with at least
+	// minGapSampleEvents events.
+	gapSampleEvents    = 8
+	minGapSampleEvents = 3
+	gapSampleTime      = 300 * time.Millisecond
+	// gapSmoothing is the weight of the newest sample.
+	gapSmoothing = 0.35
 )
 
-// observe notes an event of a run, and its engine's pace.
+// observe records an event of a run and samples the engine's event gap.
 func (a *attempt) observe(now time.Time) {
 	a.events++
-	a.lastSeen = now
-	a.excused = 0
-	a.engine.silentAt = time.Time{}
-	if a.sampleBegan.IsZero() {
-		a.sampleBegan = now
+	a.lastEventAt = now
+	a.pauseAllowance = 0
+	a.engine.unresponsiveAt = time.Time{}
+	if a.sampleStart.IsZero() {
+		a.sampleStart = now
 		return
 	}
-	a.sampled++
-	took := now.Sub(a.sampleBegan)
-	if a.sampled < paceEvents && (a.sampled < paceFewest || took < paceTime) {
+	a.sampleEvents++
+	elapsed := now.Sub(a.sampleStart)
+	if a.sampleEvents < gapSampleEvents && (a.sampleEvents < minGapSampleEvents || elapsed < gapSampleTime) {
 		return
 	}
-	gap := took.Seconds() / float64(a.sampled)
+	gap := elapsed.Seconds() / float64(a.sampleEvents)
 	if a.engine.gap == 0 {
 		a.engine.gap = gap
 	}
-	a.engine.gap += paceSmoothing * (gap - a.engine.gap)
-	a.engine.pacedAt = now
-	a.sampleBegan, a.sampled = now, 0
+	a.engine.gap += gapSmoothing * (gap - a.engine.gap)
+	a.engine.gapSampledAt = now
+	a.sampleStart, a.sampleEvents = now, 0
 }
 
-// HandleAttemptEnd takes the end of an attempt.
+// HandleAttemptEnd processes the end of an attempt.
 func (m *Machine) HandleAttemptEnd(now time.Time, id AttemptID, reason EndReason) {
 	ended := m.attempts[id]
 	if ended == nil {
@@ -99,10 +99,10 @@
 	}
 	owner.attempt = nil
 	switch {
-	case owner.kept:
-		m.settleKept(ended, reason)
+	case owner.retained:
+		m.handleRetainedEnd(ended, reason)
 	case !owner.finished:
-		m.settle(now, ended, reason)
+		m.handleItemEnd(now, ended, reason)
 	}
 	m.startWaiting(now)
 	m.sendRewards(now)
@@ -111,23 +111,24 @@
 	}
 }
 
-// settle decides what follows the end of an attempt whose item is still wanted.
-func (m *Machine) settle(now time.Time, ended *attempt, reason EndReason) {
+// handleItemEnd handles the end of an attempt whose item still needs a result: it records the
+// result or queues the item again.
+func (m *Machine) handleItemEnd(now time.Time, ended *attempt, reason EndReason) {
 	owner := ended.item
 	if ended.cancelled {
 		reason = EndCancelled
 	}
 	switch reason {
 	case EndCompleted:
-		m.complete(now, owner)
+		m.completeText(now, owner)
 		return
 	case EndImpossible:
-		m.finishDead(owner)
+		m.recordDead(owner)
 		return
 	case EndFailed:
 		owner.failures++
 		if owner.job.route != nil && owner.failures >= max(owner.job.route.MaxAttempts, 1) {
-			m.finishDead(owner)
+			m.recordDead(owner)
 			return
 		}
 	case EndNotExecuted:
@@ -135,11 +136,11 @@
 	case EndBroken, EndUnreached:
 		ended.engine.pausedUntil = now.Add(m.options.ServerPause)
 		if ended.events == 0 {
-			ended.engine.silentAt = now
+			ended.engine.unresponsiveAt = now
 		}
 	}
 	if ended.events == 0 && (reason == EndNotExecuted || reason == EndBroken || reason == EndUnreached) {
-		owner.refused++
+		owner.refusals++
 	}
 	owner.waitingSince = now
 	if m.suspicion(owner).Held {
@@ -149,26 +150,26 @@
 	owner.requeue()
 }
 
-// refusedInFront is how often in a row an item may have been refused and still comes first. Some
-// refusals are the servers' matter, which are full for a moment.
-const refusedInFront = 3
+// maxRefusalsInFront is the number of consecutive refusals up to which an item is queued first
+// again. Some refusals only mean that a server is full for a moment.
+const maxRefusalsInFront = 3
 
-// requeue has an item wait again: before those that have not begun yet, or behind all where no
-// engine took it several times in a row. No engine may ever take it, and it would have each slot
-// that becomes free.
+// requeue queues an item again: before items that have not started yet, or last after several
+// consecutive refusals. An item that no engine ever accepts would otherwise get every slot that
+// becomes free.
 func (i *item) requeue() {
-	if i.refused > refusedInFront {
+	if i.refusals > maxRefusalsInFront {
 		i.job.queue = append(i.job.queue, i)
 		return
 	}
 	i.job.queue = slices.Insert(i.job.queue, 0, i)
 }
 
-// notExecutedPause is how long a server that was full gets no more items.
+// notExecutedPause is how long a server that refused an item gets no more items.
 const notExecutedPause = 50 * time.Millisecond
 
-// finishDead lists an item as given up.
-func (m *Machine) finishDead(owner *item) {
+// recordDead records an item as given up.
+func (m *Machine) recordDead(owner *item) {
 	owner.finished = true
 	owner.text = nil
 	m.output.Results = append(m.output.Results, batch.Result{
@@ -176,55 +177,56 @@
 	})
 }
 
-// finishScored lists an item with its text, and the score of it where it has one.
-func (m *Machine) finishScored(owner *item, score string) {
-	owner.final = owner.unscoredResult()
-	owner.final.Score = score
+// recordCompleted records the result of an item with its text and its score, if any.
+func (m *Machine) recordCompleted(owner *item, score string) {
+	owner.result = owner.unscoredResult()
+	owner.result.Score = score
 	owner.finished = true
 	owner.text = nil
-	m.output.Results = append(m.output.Results, *owner.final)
+	m.output.Results = append(m.output.Results, *owner.result)
 }
 
-// unscoredResult returns the result of an item whose text is whole, without a score.
+// unscoredResult returns the result of an item with a complete text, without a score.
 func (i *item) unscoredResult() *batch.Result {
 	return &batch.Result{JobID: i.job.id, ItemID: i.source.ID, Text: joinLines(i.text), Versions: i.versions}
 }
 
-// loadStall is the time after the order of a load up to which runs on the engine are not
-// expected to make events. It is twice what a load takes that shares the way to the
-// weights with as many others as allowed.
-const loadStall = 2 * time.Second
+// loadStallAllowance is the time after a load order during which runs on the engine are not
+// expected to produce events. It is twice the duration of a load that shares the bandwidth to the
+// weights with as many other loads as are allowed.
+const loadStallAllowance = 2 * time.Second
 
-// quietSince returns from when on an attempt should have made events. It is in the future for a
-// while after its engine was ordered to load.
-func (a *attempt) quietSince() time.Time {
-	loaded := a.engine.loadBegan.Add(loadStall)
-	if a.engine.loading && loaded.After(a.lastSeen) {
+// eventsExpectedSince returns the time from which the stall timeout of an attempt counts. It may
+// be in the future after the engine was ordered to load.
+func (a *attempt) eventsExpectedSince() time.Time {
+	loaded := a.engine.loadStartedAt.Add(loadStallAllowance)
+	if a.engine.loading && loaded.After(a.lastEventAt) {
 		return loaded
 	}
-	return a.lastSeen
+	return a.lastEventAt
 }
 
-// HandleStoodStill says that nothing was handled for a time, so that the events which came
-// meanwhile are still to come. Between two events a run is excused for as long as it may be
-// without one, and no longer: where each tick is late, a silent engine would keep it.
-func (m *Machine) HandleStoodStill(now time.Time, lasted time.Duration) {
+// HandleProcessPause excuses a pause of this process: events that arrived meanwhile have not been
+// processed yet. Between two events a run is excused for at most the stall timeout. Without this
+// bound, late ticks would keep a run on an unresponsive engine.
+func (m *Machine) HandleProcessPause(now time.Time, duration time.Duration) {
 	for _, running := range m.attempts {
-		excused := min(lasted, now.Sub(running.lastSeen), m.options.StallTimeout-running.excused)
+		excused := min(duration, now.Sub(running.lastEventAt), m.options.StallTimeout-running.pauseAllowance)
 		if excused <= 0 {
 			continue
 		}
-		running.excused += excused
-		running.lastSeen = running.lastSeen.Add(excused)
+		running.pauseAllowance += excused
+		running.lastEventAt = running.lastEventAt.Add(excused)
 	}
 }
 
-// moveStalled ends attempts that got no event for too long; they go on elsewhere.
-func (m *Machine) moveStalled(now time.Time) {
+// cancelStalled cancels attempts that received no event for too long; their items resume
+// elsewhere.
+func (m *Machine) cancelStalled(now time.Time) {
 	for _, running := range m.sortedAttempts() {
-		if !running.cancelled && now.Sub(running.quietSince()) > m.options.StallTimeout {
+		if !running.cancelled && now.Sub(running.eventsExpectedSince()) > m.options.StallTimeout {
 			running.engine.pausedUntil = now.Add(m.options.ServerPause)
-			running.engine.silentAt = now
+			running.engine.unresponsiveAt = now
 			m.cancel(running)
 		}
 	}
--- a/internal/scheduler/bench_test.go
+++ b/internal/scheduler/bench_test.go
@@ -10,8 +10,8 @@
 	"dalehook/internal/routetable"
 )
 
-// largeFleet is a machine with many engines and the items of three trainers' steps.
-type largeFleet struct {
+// benchmarkFleet is a machine with many engines that runs the steps of three trainers.
+type benchmarkFleet struct {
 	machine *Machine
 	now     time.Time
 	servers []*directory.Server
@@ -22,8 +22,8 @@
 
 var benchModels = []string{"m0", "m1", "m2"}
 
-func newLargeFleet(engines int) *largeFleet {
-	f := &largeFleet{machine: NewMachine(Options{}), now: time.Unix(1000, 0), version: 1}
+func newBenchmarkFleet(engines int) *benchmarkFleet {
+	f := &benchmarkFleet{machine: NewMachine(Options{}), now: time.Unix(1000, 0), version: 1}
 	var routes []routetable.Route
 	for _, model := range benchModels {
 		routes = append(routes, routetable.Route{
@@ -43,13 +43,13 @@
 	return f
 }
 
-// second plays a second of the fleet: events of every run, ends and starts of some,
-// ticks, lists, and a new version with its loads.
-func (f *largeFleet) second() {
+// simulateSecond simulates one second: events of all runs, ends and starts of some runs, ticks,
+// server lists, and a new version with its loads.
+func (f *benchmarkFleet) simulateSecond() {
 	m := f.machine
 	for tick := range 20 {
 		f.now = f.now.Add(50 * time.Millisecond)
-		m.HandleFresh(f.now, 0, f.now)
+		m.HandlePartitionRead(f.now, 0, f.now)
 		for _, id := range f.running {
 			m.HandleEvent(f.now, id, Event{ID: fmt.Sprint(tick), Data: "x", Version: f.version})
 		}
@@ -69,7 +69,7 @@
 	}
 }
 
-func (f *largeFleet) step() {
+func (f *benchmarkFleet) step() {
 	f.jobs++
 	model := benchModels[f.jobs%len(benchModels)]
 	job := &batch.Job{ID: fmt.Sprint("job-", f.jobs), Host: "h", Path: "/" + model + "/j", Model: model, MinVersion: f.version}
@@ -81,27 +81,27 @@
 	f.machine.HandleVersion(f.now, model, f.version)
 }
 
-func (f *largeFleet) carryOut() {
-	output := f.machine.Take()
+func (f *benchmarkFleet) carryOut() {
+	output := f.machine.TakeOutput()
 	for _, start := range output.Starts {
 		f.running = append(f.running, start.Attempt)
 	}
 	for _, order := range output.Orders {
-		f.machine.HandleLoad(f.now, order.Server, order.Model, Load{Version: order.Version})
+		f.machine.HandleLoad(f.now, order.Server, order.Model, LoadResult{Version: order.Version})
 	}
 	for _, result := range output.Results {
-		f.machine.HandleListed(f.now, &result)
+		f.machine.HandleResult(f.now, &result)
 	}
 }
 
-// BenchmarkSecond is the processor time of a second of scheduling at sizes up to that
-// of 300 machines before 3,000 engines.
+// BenchmarkSecond measures the processor time per second of scheduling, up to the size of 300
+// machines and 3,000 engines.
 func BenchmarkSecond(b *testing.B) {
 	for _, engines := range []int{50, 300, 1000, 3000} {
 		b.Run(fmt.Sprint(engines), func(b *testing.B) {
-			fleet := newLargeFleet(engines)
+			fleet := newBenchmarkFleet(engines)
 			for b.Loop() {
-				fleet.second()
+				fleet.simulateSecond()
 			}
 		})
 	}
--- a/internal/scheduler/engines.go
+++ b/internal/scheduler/engines.go
@@ -10,36 +10,37 @@
 	"dalehook/internal/slowstart"
 )
 
-// HandleServers takes the list of ready servers.
+// HandleServers processes the list of ready servers.
 func (m *Machine) HandleServers(now time.Time, servers []*directory.Server) {
-	m.sets.list(servers)
-	m.useEngines()
+	m.workingSets.setListed(servers)
+	m.updateWorkingSet()
 	m.rewards.HandleSlots(m.slotsByService())
 	m.schedule(now)
 }
 
-// useEngines takes the engines of the working sets into use, and drops those that are gone.
-func (m *Machine) useEngines() {
-	for _, known := range m.engines {
-		known.listed = false
+// updateWorkingSet adds the engines of the working sets, and removes engines that are no longer
+// listed and idle.
+func (m *Machine) updateWorkingSet() {
+	for _, eng := range m.engines {
+		eng.listed = false
 	}
 	used := func(id string) bool { return m.engines[id] != nil }
-	for _, server := range m.sets.choose(used, m.modelsOf) {
-		m.learn(server)
+	for _, server := range m.workingSets.choose(used, m.serviceModels) {
+		m.updateEngine(server)
 	}
-	for id, known := range m.engines {
-		if !known.listed && len(known.attempts) == 0 && !known.loading {
+	for id, eng := range m.engines {
+		if !eng.listed && len(eng.attempts) == 0 && !eng.loading {
 			delete(m.engines, id)
-			m.ordered = nil
+			m.sortedEngineCache = nil
 		}
 	}
-	m.divide()
+	m.assignModels()
 }
 
-// slotsByService returns the slots of the servers that are listed.
+// slotsByService returns the total slots of the listed servers of each service.
 func (m *Machine) slotsByService() map[string]int {
 	slots := make(map[string]int)
-	for service, servers := range m.sets.listed {
+	for service, servers := range m.workingSets.listed {
 		for _, server := range servers {
 			slots[service] += server.Slots
 		}
@@ -47,56 +48,57 @@
 	return slots
 }
 
-func (m *Machine) learn(server *directory.Server) {
-	known := m.engines[server.ID]
-	if known != nil && known.server.Born != server.Born && !known.server.incarnation().IsSameLife(server.Incarnation()) {
-		m.bury(known)
-		known = nil
+func (m *Machine) updateEngine(server *directory.Server) {
+	eng := m.engines[server.ID]
+	if eng != nil && eng.server.Born != server.Born && !eng.server.incarnation().IsSameLife(server.Incarnation()) {
+		m.discardEngine(eng)
+		eng = nil
 	}
-	if known == nil {
-		known = &engine{
+	if eng == nil {
+		eng = &engine{
 			server:   Server{ID: server.ID, Born: server.Born, Address: server.Address, Service: server.Service},
 			versions: make(map[string]int64),
 			attempts: make(map[AttemptID]*attempt),
 		}
-		m.engines[server.ID] = known
-		m.ordered = nil
+		m.engines[server.ID] = eng
+		m.sortedEngineCache = nil
 	}
-	known.listed = true
-	known.server.Born = server.Born
-	known.service = server.Service
-	known.slots = server.Slots
-	known.warmAt = server.WarmAt
-	known.warmUpRate = m.table.WarmUpRate(server.Service)
+	eng.listed = true
+	eng.server.Born = server.Born
+	eng.service = server.Service
+	eng.slots = server.Slots
+	eng.warmAt = server.WarmAt
+	eng.warmUpRate = m.table.WarmUpRate(server.Service)
 	for model, version := range server.Versions {
-		// The list lags behind what orders and answers have told.
-		known.versions[model] = max(known.versions[model], version)
+		// The list may be older than load results and events.
+		eng.versions[model] = max(eng.versions[model], version)
 	}
 }
 
-// isSaturated says whether an engine was started as many items within the last second as it may
-// be: one that has just started bears few, and falls over where all its slots are filled at once
-// again and again.
-func (e *engine) isSaturated(now time.Time) bool {
-	return e.starts.Full(now, slowstart.Most(e.warmUpRate, e.slots, now.Before(e.warmAt)))
+// atWarmUpLimit reports whether an engine was sent its maximum number of items within the last
+// second. An engine that has just started sustains a low rate, and fails when all its slots are
+// refilled repeatedly.
+func (e *engine) atWarmUpLimit(now time.Time) bool {
+	return e.recentStarts.Full(now, slowstart.Most(e.warmUpRate, e.slots, now.Before(e.warmAt)))
 }
 
-// bury forgets an engine that has started again: its runs and loads ended with the life before.
-func (m *Machine) bury(known *engine) {
-	for _, id := range slices.Sorted(maps.Keys(known.attempts)) {
-		m.cancel(known.attempts[id])
+// discardEngine drops an engine that has restarted: its runs and loads ended with the previous
+// incarnation.
+func (m *Machine) discardEngine(eng *engine) {
+	for _, id := range slices.Sorted(maps.Keys(eng.attempts)) {
+		m.cancel(eng.attempts[id])
 	}
-	if known.loading {
-		m.loading[known.service]--
+	if eng.loading {
+		m.activeLoads[eng.service]--
 	}
-	delete(m.engines, known.server.ID)
+	delete(m.engines, eng.server.ID)
 }
 
-// sortedEngines returns the engines in the order of their ids. The list is made anew
-// only when engines come or go.
+// sortedEngines returns the engines ordered by ID. The slice is cached until engines are added or
+// removed.
 func (m *Machine) sortedEngines() []*engine {
-	if m.ordered == nil {
-		m.ordered = slices.SortedFunc(maps.Values(m.engines), func(a, b *engine) int { return cmp.Compare(a.server.ID, b.server.ID) })
+	if m.sortedEngineCache == nil {
+		m.sortedEngineCache = slices.SortedFunc(maps.Values(m.engines), func(a, b *engine) int { return cmp.Compare(a.server.ID, b.server.ID) })
 	}
-	return m.ordered
+	return m.sortedEngineCache
 }
--- a/internal/scheduler/jobs.go
+++ b/internal/scheduler/jobs.go
@@ -8,34 +8,33 @@
 	"dalehook/internal/batch"
 )
 
-// HandleJob takes a job that stands in the log of a partition, with the results
-// that it has there.
+// HandleJob processes a job read from the log of a partition, with its results in that log.
 func (m *Machine) HandleJob(now time.Time, partition int, accepted *batch.Job, results []batch.Result) {
 	if m.jobs[accepted.ID] != nil {
 		return
 	}
 	m.arrivals++
 	opened := &job{
-		id:        accepted.ID,
-		tenant:    accepted.Tenant,
-		host:      accepted.Host,
-		path:      accepted.Path,
-		model:     accepted.Model,
-		minimum:   accepted.MinVersion,
-		partition: partition,
-		order:     m.arrivals,
-		cameAt:    now,
-		items:     make(map[string]*item, len(accepted.Items)),
-		groups:    make(map[string]int),
-		sources:   make(map[string]*batch.Item, len(accepted.Items)),
-		done:      make(map[string]*batch.Result),
+		id:                accepted.ID,
+		tenant:            accepted.Tenant,
+		host:              accepted.Host,
+		path:              accepted.Path,
+		model:             accepted.Model,
+		minimum:           accepted.MinVersion,
+		partition:         partition,
+		arrival:           m.arrivals,
+		receivedAt:        now,
+		items:             make(map[string]*item, len(accepted.Items)),
+		unfinishedByGroup: make(map[string]int),
+		sources:           make(map[string]*batch.Item, len(accepted.Items)),
+		results:           make(map[string]*batch.Result),
 	}
 	for i := range accepted.Items {
-		opened.add(&accepted.Items[i])
+		opened.addItem(&accepted.Items[i])
 	}
 	m.jobs[opened.id] = opened
 	for i := range results {
-		opened.list(&results[i])
+		opened.recordResult(&results[i])
 	}
 	m.route(opened)
 	m.observeDemand(accepted)
@@ -45,60 +44,60 @@
 		}
 	}
 	slices.SortStableFunc(opened.queue, longestFirst)
-	m.divideHeld(opened)
-	m.sets.observeStep(accepted.Model, len(accepted.Items))
-	m.useEngines()
+	m.separateHeld(opened)
+	m.workingSets.observeStep(accepted.Model, len(accepted.Items))
+	m.updateWorkingSet()
 	m.schedule(now)
 }
 
-func (j *job) add(source *batch.Item) {
+func (j *job) addItem(source *batch.Item) {
 	if j.sources[source.ID] != nil {
 		return
 	}
 	j.items[source.ID] = &item{job: j, source: source}
 	j.sources[source.ID] = source
-	j.groups[source.Group]++
+	j.unfinishedByGroup[source.Group]++
 }
 
-// list takes a result that stands in the log. It returns the item, nil when it
-// had a result already.
-func (j *job) list(result *batch.Result) *item {
-	listed := j.items[result.ItemID]
-	if listed == nil {
+// recordResult processes a result read from the log. It returns the item, or nil if it had a
+// result already.
+func (j *job) recordResult(result *batch.Result) *item {
+	recorded := j.items[result.ItemID]
+	if recorded == nil {
 		return nil
 	}
 	delete(j.items, result.ItemID)
-	j.done[result.ItemID] = result
-	j.groups[j.sources[result.ItemID].Group]--
-	return listed
+	j.results[result.ItemID] = result
+	j.unfinishedByGroup[j.sources[result.ItemID].Group]--
+	return recorded
 }
 
 // demandSmoothing is the weight of the newest step in a model's demand.
 const demandSmoothing = 0.4
 
-// observeDemand learns how much work a step of a model is.
+// observeDemand updates the expected tokens per step of a model.
 func (m *Machine) observeDemand(accepted *batch.Job) {
 	total := 0.0
 	for i := range accepted.Items {
 		total += float64(max(accepted.Items[i].Expected, 1))
 	}
-	before, known := m.demand[accepted.Model]
+	previous, known := m.demand[accepted.Model]
 	if !known {
-		before = total
+		previous = total
 	}
-	m.demand[accepted.Model] = before + demandSmoothing*(total-before)
+	m.demand[accepted.Model] = previous + demandSmoothing*(total-previous)
 }
 
-// longestFirst orders items: carried ones, then the longest.
+// longestFirst orders resubmitted items first, then items by falling expected length.
 func longestFirst(a, b *item) int {
-	if carried := boolean(b.carried) - boolean(a.carried); carried != 0 {
-		return carried
+	if order := boolToInt(b.resubmitted) - boolToInt(a.resubmitted); order != 0 {
+		return order
 	}
 	return cmp.Compare(b.source.Expected, a.source.Expected)
 }
 
-// route finds a job's route, and the service of each of its items. The job's first route says
-// when its items may be given up.
+// route sets a job's route and the service of each item. The first route that matches sets the
+// time when the job's items expire.
 func (m *Machine) route(job *job) {
 	if m.table == nil {
 		return
@@ -108,8 +107,8 @@
 		return
 	}
 	if job.giveUpAt.IsZero() {
-		// The job may have been read before the configuration that has its route.
-		job.giveUpAt = job.cameAt.Add(job.route.ItemLifetime)
+		// The job may have been read before the configuration with its route.
+		job.giveUpAt = job.receivedAt.Add(job.route.ItemLifetime)
 	}
 	for id, waiting := range job.items {
 		target, _ := job.route.PickFor(id)
@@ -117,37 +116,37 @@
 	}
 }
 
-// HandleListed takes a result that stands in the log.
-func (m *Machine) HandleListed(now time.Time, result *batch.Result) {
-	open := m.jobs[result.JobID]
-	if open == nil {
+// HandleResult processes a result read from the log.
+func (m *Machine) HandleResult(now time.Time, result *batch.Result) {
+	owner := m.jobs[result.JobID]
+	if owner == nil {
 		return
 	}
-	listed := open.list(result)
-	if listed == nil {
+	recorded := owner.recordResult(result)
+	if recorded == nil {
 		return
 	}
-	listed.finished = true
-	m.cancel(listed.attempt)
-	m.withdrawReward(listed)
+	recorded.finished = true
+	m.cancel(recorded.attempt)
+	m.withdrawReward(recorded)
 	m.startWaiting(now)
 }
 
-// HandleEnded takes the end of a job. What its unfinished groups have made is
-// kept, and their runs go on for a while: such groups may come again.
-func (m *Machine) HandleEnded(now time.Time, jobID string) {
+// HandleJobEnd processes the end of a job. The texts of its unfinished groups are retained and
+// their runs continue for a while, since these groups may be resubmitted.
+func (m *Machine) HandleJobEnd(now time.Time, jobID string) {
 	ended := m.jobs[jobID]
 	if ended == nil {
 		return
 	}
 	delete(m.jobs, jobID)
-	m.keep(now, ended)
+	m.retainUnfinished(now, ended)
 	m.startWaiting(now)
 	m.sendRewards(now)
 }
 
-// giveUp lists the waiting items of jobs whose time is over as dead.
-func (m *Machine) giveUp(now time.Time) {
+// expireJobs records the unfinished items of expired jobs as dead.
+func (m *Machine) expireJobs(now time.Time) {
 	for _, job := range m.sortedJobs() {
 		if job.giveUpAt.IsZero() || now.Before(job.giveUpAt) {
 			continue
@@ -156,7 +155,7 @@
 			if !waiting.finished {
 				m.cancel(waiting.attempt)
 				m.withdrawReward(waiting)
-				m.finishDead(waiting)
+				m.recordDead(waiting)
 			}
 		}
 		job.queue, job.held = nil, nil
--- a/internal/scheduler/loads.go
+++ b/internal/scheduler/loads.go
@@ -10,81 +10,81 @@
 	"dalehook/internal/directory"
 )
 
-// retryLoad is the time between two orders to one engine when the first did not
-// bring it to the wanted version.
-const retryLoad = 400 * time.Millisecond
+// loadRetryDelay is the time between two orders to one engine when the first did not result in the
+// wanted version.
+const loadRetryDelay = 400 * time.Millisecond
 
-// divide gives every engine a model whose new versions it loads, so that the
-// models of a service have shares by their demand. Engines keep their model while
+// assignModels assigns a model to each engine, which loads the new versions of that model. Engines
+// are shared between the models of a service in proportion to demand, and keep their model while
 // the shares do not change.
-func (m *Machine) divide() {
+func (m *Machine) assignModels() {
 	byService := make(map[string][]*engine)
-	for _, known := range m.sortedEngines() {
-		if known.listed && len(known.versions) > 0 {
-			byService[known.service] = append(byService[known.service], known)
+	for _, eng := range m.sortedEngines() {
+		if eng.listed && len(eng.versions) > 0 {
+			byService[eng.service] = append(byService[eng.service], eng)
 		}
 	}
 	for service, engines := range byService {
-		m.divideService(service, engines)
+		m.assignServiceModels(service, engines)
 	}
 }
 
-func (m *Machine) divideService(service string, engines []*engine) {
-	models := m.modelsOf(service, m.sets.listed[service])
+func (m *Machine) assignServiceModels(service string, engines []*engine) {
+	models := m.serviceModels(service, m.workingSets.listed[service])
 	if len(models) == 0 {
 		return
 	}
-	targets := m.targets(models, engines)
+	targets := m.engineTargets(models, engines)
 	shares := make(map[string]int, len(models))
-	for _, known := range engines {
-		if shares[known.model] < targets[known.model] {
-			shares[known.model]++
+	for _, eng := range engines {
+		if shares[eng.model] < targets[eng.model] {
+			shares[eng.model]++
 			continue
 		}
-		known.model = ""
+		eng.model = ""
 	}
-	for _, known := range engines {
-		if known.model == "" {
-			known.model = mostWanted(models, targets, shares, known)
-			shares[known.model]++
+	for _, eng := range engines {
+		if eng.model == "" {
+			eng.model = largestShortfall(models, targets, shares, eng)
+			shares[eng.model]++
 		}
 	}
 }
 
-// targets returns how many engines each model is to have: in proportion to the
-// work of its steps, and at least one where there are enough.
-// Shares that are nearly in proportion stay, since a move costs a load.
-func (m *Machine) targets(models []string, engines []*engine) map[string]int {
+// engineTargets returns the number of engines for each model: in proportion to the work of its
+// steps, and at least one if there are enough engines. Current shares within the tolerance are
+// kept, since reassigning an engine costs a load.
+func (m *Machine) engineTargets(models []string, engines []*engine) map[string]int {
 	weights := make(map[string]float64, len(models))
 	total := 0.0
 	for _, model := range models {
-		weights[model] = m.weight(model)
+		weights[model] = m.modelWeight(model)
 		total += weights[model]
 	}
 	targets := make(map[string]int, len(models))
-	for _, known := range engines {
-		if known.model != "" {
-			targets[known.model]++
+	for _, eng := range engines {
+		if eng.model != "" {
+			targets[eng.model]++
 		}
 	}
-	if inProportion(models, targets, weights, total, len(engines)) {
+	if sharesWithinTolerance(models, targets, weights, total, len(engines)) {
 		return targets
 	}
 	clear(targets)
 	for range engines {
-		targets[mostBehind(models, targets, weights)]++
+		targets[nextModelByQuotient(models, targets, weights)]++
 	}
 	return targets
 }
 
-// tolerated is how many engines a model's share may be off its proportion.
-const tolerated = 0.8
+// shareTolerance is how many engines a model's share may deviate from its exact proportion.
+const shareTolerance = 0.8
 
-func inProportion(models []string, shares map[string]int, weights map[string]float64, total float64, engines int) bool {
+func sharesWithinTolerance(models []string, shares map[string]int, weights map[string]float64, total float64, engines int) bool {
 	assigned := 0
 	for _, model := range models {
 		ideal := weights[model] / total * float64(engines)
-		if math.Abs(float64(shares[model])-ideal) > tolerated {
+		if math.Abs(float64(shares[model])-ideal) > shareTolerance {
 			return false
 		}
 		assigned += shares[model]
@@ -92,8 +92,8 @@
 	return assigned == engines
 }
 
-// weight returns the demand of a model; models without jobs yet count as equals.
-func (m *Machine) weight(model string) float64 {
+// modelWeight returns the demand of a model. Models without jobs so far get the mean demand.
+func (m *Machine) modelWeight(model string) float64 {
 	if demand, known := m.demand[model]; known {
 		return demand
 	}
@@ -104,38 +104,37 @@
 	return max(total/float64(max(len(m.demand), 1)), 1)
 }
 
-// mostBehind returns the model whose next engine is due first: models without an
-// engine, then the least engines for its weight (the Sainte-Laguë method).
-func mostBehind(models []string, targets map[string]int, weights map[string]float64) string {
+// nextModelByQuotient returns the model that gets the next engine: a model without engines first,
+// then the one with the highest quotient (Sainte-Laguë method).
+func nextModelByQuotient(models []string, targets map[string]int, weights map[string]float64) string {
 	return slices.MaxFunc(models, func(a, b string) int {
-		if none := cmp.Compare(boolean(targets[a] == 0), boolean(targets[b] == 0)); none != 0 {
+		if none := cmp.Compare(boolToInt(targets[a] == 0), boolToInt(targets[b] == 0)); none != 0 {
 			return none
 		}
 		return cmp.Compare(weights[a]/float64(2*targets[a]+1), weights[b]/float64(2*targets[b]+1))
 	})
 }
 
-func boolean(holds bool) int {
+func boolToInt(holds bool) int {
 	if holds {
 		return 1
 	}
 	return 0
 }
 
-// mostWanted picks the model that lacks the most engines; of equals, the one that
-// the engine has the newest weights of, so that a successor divides as its
-// predecessor did.
-func mostWanted(models []string, targets, shares map[string]int, known *engine) string {
+// largestShortfall returns the model that lacks the most engines. Ties go to the model of which
+// the engine has the newest weights, so that a successor assigns models as its predecessor did.
+func largestShortfall(models []string, targets, shares map[string]int, eng *engine) string {
 	return slices.MaxFunc(models, func(a, b string) int {
 		if difference := (targets[a] - shares[a]) - (targets[b] - shares[b]); difference != 0 {
 			return difference
 		}
-		return cmp.Compare(known.versions[a], known.versions[b])
+		return cmp.Compare(eng.versions[a], eng.versions[b])
 	})
 }
 
-// modelsOf returns the models of a service, ordered.
-func (m *Machine) modelsOf(service string, servers []*directory.Server) []string {
+// serviceModels returns the models of a service in sorted order.
+func (m *Machine) serviceModels(service string, servers []*directory.Server) []string {
 	var models []string
 	if m.table != nil {
 		models = slices.Clone(m.table.Services[service].Models)
@@ -147,94 +146,94 @@
 	return models
 }
 
-// Looking at all engines takes time in proportion to their number, so that a fleet of
-// many is looked at a little less often.
+// Ordering loads takes time proportional to the number of engines, so it runs less often in large
+// fleets.
 const (
-	// manyEngines is the number from which on loads are ordered in intervals.
-	manyEngines = 100
-	// orderIntervalPerEngine is the interval for each engine.
+	// largeFleetEngines is the number of engines from which loads are ordered at intervals.
+	largeFleetEngines = 100
+	// orderIntervalPerEngine is the interval per engine.
 	orderIntervalPerEngine = 10 * time.Microsecond
 )
 
-// orderLoads orders engines to load new versions, as many at once as the window of
-// their service allows, the most urgent first.
+// orderLoads orders engines to load new versions, most urgent first, within the load window of
+// each service.
 func (m *Machine) orderLoads(now time.Time) {
 	if !m.mayOrder || m.resigned {
 		m.endDraining()
 		return
 	}
 	interval := time.Duration(len(m.engines)) * orderIntervalPerEngine
-	if len(m.engines) >= manyEngines && now.Sub(m.loadsOrderedAt) < interval {
-		return // the next tick looks again
+	if len(m.engines) >= largeFleetEngines && now.Sub(m.loadsOrderedAt) < interval {
+		return // retried on the next tick
 	}
 	m.loadsOrderedAt = now
 	queues := m.loadQueues(now)
 	for next := m.mostUrgent(queues); next != nil; next = m.mostUrgent(queues) {
-		known := next.candidates[0].engine
+		eng := next.candidates[0].engine
 		next.candidates = next.candidates[1:]
-		if next.open < openMargin && len(known.attempts) > 0 && !servesNothing(known, next.waiting) {
+		if next.available < minAvailableMargin && len(eng.attempts) > 0 && !tooOldForWaiting(eng, next.waitingJobs) {
 			continue
 		}
-		next.open -= 2
-		next.missing -= known.slots
-		m.order(now, known)
+		next.available -= 2
+		next.unservedItems -= eng.slots
+		m.orderLoad(now, eng)
 	}
 }
 
-// endDraining has engines take items that were to become idle for an order.
+// endDraining lets engines that were draining for a load take items again.
 func (m *Machine) endDraining() {
-	for _, known := range m.engines {
-		known.draining = false
+	for _, eng := range m.engines {
+		eng.draining = false
 	}
 }
 
-// openMargin is how many more engines of a model must take items than load, for a
-// busy one to load while its version still serves. A loading engine starts nothing.
-const openMargin = 2
+// minAvailableMargin is the surplus of available over loading engines of a model that is required
+// before a busy engine loads while its version still serves. A loading engine starts no items.
+const minAvailableMargin = 2
 
-// loadQueue holds the engines of a model and service that may load.
+// loadQueue holds the engines of one model and service that may load.
 type loadQueue struct {
 	service, model string
 	candidates     []loadCandidate
-	// open is how many more engines take items than load.
-	open int
-	// missing is how many items wait beyond the slots that are loading.
-	missing int
-	// waiting holds the model's jobs with items that wait.
-	waiting []*job
+	// available is the number of listed engines that are not loading, less the loading ones.
+	available int
+	// unservedItems is the number of waiting items beyond the slots of the loading engines.
+	unservedItems int
+	// waitingJobs holds the model's jobs with waiting items.
+	waitingJobs []*job
 }
 
 type loadCandidate struct {
 	engine *engine
-	// lag is how many versions the engine is behind.
+	// lag is the number of versions the engine is behind.
 	lag int64
 }
 
-// loadQueues returns the engines that may load, those of one model and service in the
-// order in which they should: the most versions behind, then idle ones, then the
-// fastest. Loads share the way to the weights, so that not every engine can load every
-// version; one that is a version behind still serves.
+// loadQueues returns the engines that may load, one queue per model and service. Each queue is
+// ordered by lag, then idle engines first, then by event gap. Loads share the bandwidth to the
+// weights, so not every engine can load every version; an engine that is one version behind still
+// serves.
 func (m *Machine) loadQueues(now time.Time) []*loadQueue {
 	waiting := make(map[string][]*job)
-	for _, open := range m.sortedJobs() {
-		if len(open.queue) > 0 {
-			waiting[open.model] = append(waiting[open.model], open)
+	for _, job := range m.sortedJobs() {
+		if len(job.queue) > 0 {
+			waiting[job.model] = append(waiting[job.model], job)
 		}
 	}
 	var queues []*loadQueue
 	byName := make(map[[2]string]*loadQueue)
-	for _, known := range m.sortedEngines() {
-		name := [2]string{known.service, known.model}
+	for _, eng := range m.sortedEngines() {
+		name := [2]string{eng.service, eng.model}
 		queue := byName[name]
 		if queue == nil {
-			queue = &loadQueue{service: known.service, model: known.model, waiting: waiting[known.model]}
-			for _, open := range queue.waiting {
-				queue.missing += len(open.queue)
+			queue = &loadQueue{service: eng.service, model: eng.model, waitingJobs: waiting[eng.model]}
+			for _, job := range queue.waitingJobs {
+				queue.unservedItems += len(job.queue)
 			}
 			byName[name] = queue
 			queues = append(queues, queue)
 		}
-		m.enqueueLoad(now, queue, known)
+		m.enqueueLoad(now, queue, eng)
 	}
 	for _, queue := range queues {
 		slices.SortStableFunc(queue.candidates, compareLoads)
@@ -242,17 +241,17 @@
 	return queues
 }
 
-func (m *Machine) enqueueLoad(now time.Time, queue *loadQueue, known *engine) {
+func (m *Machine) enqueueLoad(now time.Time, queue *loadQueue, eng *engine) {
 	switch {
-	case known.loading:
-		queue.open--
-		queue.missing -= known.slots
-	case known.listed:
-		queue.open++
+	case eng.loading:
+		queue.available--
+		queue.unservedItems -= eng.slots
+	case eng.listed:
+		queue.available++
 	}
-	if m.shouldLoad(now, known, queue.waiting) {
-		lag := m.newest[known.model] - known.versions[known.model]
-		queue.candidates = append(queue.candidates, loadCandidate{engine: known, lag: lag})
+	if m.shouldLoad(now, eng, queue.waitingJobs) {
+		lag := m.newestVersions[eng.model] - eng.versions[eng.model]
+		queue.candidates = append(queue.candidates, loadCandidate{engine: eng, lag: lag})
 	}
 }
 
@@ -264,66 +263,67 @@
 	)
 }
 
-// mostUrgent returns the queue whose first engine is to load next, nil when none is:
-// models whose items wait come first, then those the most versions behind.
+// mostUrgent returns the queue whose first engine should load next, or nil. Models with unserved
+// items come first, then those that lag the most.
 func (m *Machine) mostUrgent(queues []*loadQueue) *loadQueue {
 	var best *loadQueue
 	for _, queue := range queues {
-		if len(queue.candidates) == 0 || m.loading[queue.service] >= m.loadWindow(queue.service).limit {
+		if len(queue.candidates) == 0 || m.activeLoads[queue.service] >= m.loadWindow(queue.service).limit {
 			continue
 		}
-		if best == nil || queue.before(best) {
+		if best == nil || queue.moreUrgentThan(best) {
 			best = queue
 		}
 	}
 	return best
 }
 
-func (q *loadQueue) before(other *loadQueue) bool {
-	if own, others := max(q.missing, 0), max(other.missing, 0); own != others {
+func (q *loadQueue) moreUrgentThan(other *loadQueue) bool {
+	if own, others := max(q.unservedItems, 0), max(other.unservedItems, 0); own != others {
 		return own > others
 	}
 	return q.candidates[0].lag > other.candidates[0].lag
 }
 
-// firstWindowShare is the share of a service's engines that load at once while nothing
-// is known of the way to the weights, which grows with the fleet.
-const firstWindowShare = 6
+// initialWindowDivisor divides the number of a service's engines into the initial load window,
+// used while the bandwidth to the weights is unknown. That bandwidth grows with the fleet.
+const initialWindowDivisor = 6
 
-// listedEngines returns how many engines of a service there are, used or not.
-func (m *Machine) listedEngines(service string) int { return len(m.sets.listed[service]) }
+// listedEngineCount returns the number of listed engines of a service, inside and outside the
+// working set.
+func (m *Machine) listedEngineCount(service string) int { return len(m.workingSets.listed[service]) }
 
-// loadWindow returns the bound of a service's loads at once.
+// loadWindow returns the load window of a service.
 func (m *Machine) loadWindow(service string) *loadWindow {
-	if m.windows[service] == nil {
-		m.windows[service] = newLoadWindow(m.options.ConcurrentLoads, m.listedEngines(service)/firstWindowShare)
+	if m.loadWindows[service] == nil {
+		m.loadWindows[service] = newLoadWindow(m.options.ConcurrentLoads, m.listedEngineCount(service)/initialWindowDivisor)
 	}
-	return m.windows[service]
+	return m.loadWindows[service]
 }
 
-// shouldLoad says whether an engine may be ordered to load now, and has it take no items where it
-// is to become idle first: only as long as there is something to load.
-func (m *Machine) shouldLoad(now time.Time, known *engine, waiting []*job) bool {
-	known.draining = false
-	if !known.listed || known.loading || known.model == "" || now.Before(known.loadAfter) {
+// shouldLoad reports whether an engine may be ordered to load now. It marks the engine as draining
+// if it must become idle first, and only while there is a version to load.
+func (m *Machine) shouldLoad(now time.Time, eng *engine, waiting []*job) bool {
+	eng.draining = false
+	if !eng.listed || eng.loading || eng.model == "" || now.Before(eng.nextLoadAt) {
 		return false
 	}
-	if known.versions[known.model] >= m.newest[known.model] {
+	if eng.versions[eng.model] >= m.newestVersions[eng.model] {
 		return false
 	}
-	// Runs go on while their engine loads, and under the new version afterwards. A
-	// run of a single version would start anew under the next one.
-	if !known.runsSingleVersion() {
+	// Runs continue during a load and under the new version afterwards, but a single-version run
+	// would have to start over.
+	if !eng.runsSingleVersion() {
 		return true
 	}
-	known.draining = servesNothing(known, waiting)
+	eng.draining = tooOldForWaiting(eng, waiting)
 	return false
 }
 
-// servesNothing says whether items wait that an engine's version may not serve.
-func servesNothing(known *engine, waiting []*job) bool {
-	for _, open := range waiting {
-		if open.minimum > known.versions[known.model] {
+// tooOldForWaiting reports whether a waiting job requires a newer version than the engine has.
+func tooOldForWaiting(eng *engine, waiting []*job) bool {
+	for _, job := range waiting {
+		if job.minimum > eng.versions[eng.model] {
 			return true
 		}
 	}
@@ -340,61 +340,62 @@
 	return false
 }
 
-func (m *Machine) order(now time.Time, known *engine) {
-	known.loading = true
-	known.loadBegan = now
-	m.loading[known.service]++
-	known.loadBeganAs, known.loadsAtOnce = m.loading[known.service], 0
-	m.countLoads(known.service)
-	known.draining = false
-	m.output.Orders = append(m.output.Orders, Order{
-		Server:  known.server,
-		Model:   known.model,
-		Version: m.newest[known.model],
+func (m *Machine) orderLoad(now time.Time, eng *engine) {
+	eng.loading = true
+	eng.loadStartedAt = now
+	m.activeLoads[eng.service]++
+	eng.concurrentAtStart, eng.maxConcurrentLoads = m.activeLoads[eng.service], 0
+	m.recordConcurrentLoads(eng.service)
+	eng.draining = false
+	m.output.Orders = append(m.output.Orders, LoadOrder{
+		Server:  eng.server,
+		Model:   eng.model,
+		Version: m.newestVersions[eng.model],
 		Mode:    LoadKeep,
 		Epoch:   m.epoch,
 	})
 }
 
-// countLoads notes at the engines of a service that load how many do so at once.
-func (m *Machine) countLoads(service string) {
-	for _, known := range m.engines {
-		if known.loading && known.service == service {
-			known.loadsAtOnce = max(known.loadsAtOnce, m.loading[service])
+// recordConcurrentLoads updates the maximum concurrency of the loads in progress of a service.
+func (m *Machine) recordConcurrentLoads(service string) {
+	for _, eng := range m.engines {
+		if eng.loading && eng.service == service {
+			eng.maxConcurrentLoads = max(eng.maxConcurrentLoads, m.activeLoads[service])
 		}
 	}
 }
 
-// HandleLoad takes what an order came to.
-func (m *Machine) HandleLoad(now time.Time, server Server, model string, load Load) {
-	known := m.engines[server.ID]
-	if known == nil || !known.server.incarnation().IsSameLife(server.incarnation()) {
-		return // the order was given to an earlier life
+// HandleLoad processes the result of a load order.
+func (m *Machine) HandleLoad(now time.Time, server Server, model string, result LoadResult) {
+	eng := m.engines[server.ID]
+	if eng == nil || !eng.server.incarnation().IsSameLife(server.incarnation()) {
+		return // result of an order to an earlier incarnation
 	}
-	if known.loading {
-		m.loading[known.service]--
+	if eng.loading {
+		m.activeLoads[eng.service]--
 	}
-	known.loading = false
-	if load.Ordered && load.Version >= m.newest[model] {
-		m.loadWindow(known.service).observe(now, now.Sub(known.loadBegan), known.loadBeganAs, known.loadsAtOnce)
+	eng.loading = false
+	if result.Confirmed && result.Version >= m.newestVersions[model] {
+		m.loadWindow(eng.service).observe(now, now.Sub(eng.loadStartedAt), eng.concurrentAtStart, eng.maxConcurrentLoads)
 	}
-	if load.Version > 0 {
-		known.versions[model] = load.Version
+	if result.Version > 0 {
+		eng.versions[model] = result.Version
 	}
-	if known.versions[model] < m.newest[model] {
-		known.loadAfter = now.Add(retryLoad)
+	if eng.versions[model] < m.newestVersions[model] {
+		eng.nextLoadAt = now.Add(loadRetryDelay)
 	}
-	known.noteLoaded(now, load)
+	eng.resetStallTimers(now, result)
 	m.schedule(now)
 }
 
-// noteLoaded lets the runs of an engine go on after a load. One that was not reached does not
-// count as heard of: it may be ordered again and again, and its runs are to be moved.
-func (e *engine) noteLoaded(now time.Time, load Load) {
-	if load.Version == 0 {
+// resetStallTimers restarts the stall timeout of the engine's runs after a load. It does nothing
+// if the engine was not reached: such an engine may be ordered again and again, and its runs must
+// still be moved.
+func (e *engine) resetStallTimers(now time.Time, result LoadResult) {
+	if result.Version == 0 {
 		return
 	}
 	for _, running := range e.attempts {
-		running.lastSeen = now
+		running.lastEventAt = now
 	}
 }
--- a/internal/scheduler/loadwindow.go
+++ b/internal/scheduler/loadwindow.go
@@ -2,63 +2,61 @@
 
 import "time"
 
-// How a load window adapts.
+// Parameters of the load window.
 const (
-	// keptShare is the share of its width that a window keeps when loads in it were slow.
-	keptShare = 0.75
-	// tellingShare is the share of a window that must be under way at once for a slow load
-	// to say something of its width. Else its server was slow, or the node that looked.
-	tellingShare = 0.5
-	// slowLoadFactor is how many times the fastest load a load may take before the
-	// servers that load at once count as too many.
+	// shrinkFactor bounds how far a window shrinks on a slow load.
+	shrinkFactor = 0.75
+	// minConcurrencyShare is the share of the window that must be in use for a slow load to shrink
+	// it. Below it, the load was slow because of its server or the observing node.
+	minConcurrencyShare = 0.5
+	// slowLoadFactor is the ratio to the fastest load above which a load counts as slow.
 	slowLoadFactor = 1.25
-	// windowRetry is the time after which a window that was too wide is tried again.
-	windowRetry = 12 * time.Second
+	// windowRetryDelay is the time after which a size that was too large is tried again.
+	windowRetryDelay = 12 * time.Second
 )
 
-// loadWindow bounds the servers of one service that load at once. Loads share the
-// way to the weights, and no interface tells how many it carries at full speed, so
-// the window grows by one with each load that was as fast as the fastest while the
-// window was full, and shrinks to what it was where loads became slower.
+// loadWindow limits the concurrent loads of one service. Loads share the bandwidth to the weights,
+// which no interface reports. The window therefore grows by one with each load that was about as
+// fast as the fastest while the window was full, and shrinks when loads become slower.
 type loadWindow struct {
-	least int
-	limit int
-	// fastest is the shortest load seen; 0 when none was.
+	minimum int
+	limit   int
+	// fastest is the shortest load observed, or 0.
 	fastest time.Duration
-	// tooWide is a number of loads at once that was too slow, until retryAt.
+	// tooWide is a concurrency at which loads were slow; the window does not grow to it until
+	// retryAt.
 	tooWide int
 	retryAt time.Time
 }
 
-func newLoadWindow(least, first int) *loadWindow {
-	return &loadWindow{least: least, limit: max(least, first)}
+func newLoadWindow(minimum, initial int) *loadWindow {
+	return &loadWindow{minimum: minimum, limit: max(minimum, initial)}
 }
 
-// observe takes a load that took a time. It began as one of so many, and was one of at most
-// so many at once while it lasted. A fast one tells of those that it had beside it all the
-// time, a slow one of all.
-func (w *loadWindow) observe(now time.Time, took time.Duration, beganAs, most int) {
-	if w.fastest == 0 || took < w.fastest {
-		w.fastest = took
+// observe records a load, the number of concurrent loads when it started, and the maximum while it
+// ran. A fast load confirms the concurrency at its start, a slow one rules out the maximum.
+func (w *loadWindow) observe(now time.Time, duration time.Duration, concurrentAtStart, maxConcurrent int) {
+	if w.fastest == 0 || duration < w.fastest {
+		w.fastest = duration
 	}
-	if float64(took) > slowLoadFactor*float64(w.fastest) {
-		w.shrink(now, most)
+	if float64(duration) > slowLoadFactor*float64(w.fastest) {
+		w.shrink(now, maxConcurrent)
 		return
 	}
 	blocked := now.Before(w.retryAt) && w.limit+1 >= w.tooWide
-	if beganAs >= w.limit && !blocked {
+	if concurrentAtStart >= w.limit && !blocked {
 		w.limit++
 	}
 }
 
-func (w *loadWindow) shrink(now time.Time, atOnce int) {
-	if atOnce <= w.least || float64(atOnce) < tellingShare*float64(w.limit) {
+func (w *loadWindow) shrink(now time.Time, concurrent int) {
+	if concurrent <= w.minimum || float64(concurrent) < minConcurrencyShare*float64(w.limit) {
 		return
 	}
-	if now.After(w.retryAt) || atOnce < w.tooWide {
-		w.tooWide = atOnce
+	if now.After(w.retryAt) || concurrent < w.tooWide {
+		w.tooWide = concurrent
 	}
-	w.retryAt = now.Add(windowRetry)
-	narrowed := max(atOnce-1, int(keptShare*float64(w.limit)))
-	w.limit = max(min(w.limit, narrowed), w.least)
+	w.retryAt = now.Add(windowRetryDelay)
+	narrowed := max(concurrent-1, int(shrinkFactor*float64(w.limit)))
+	w.limit = max(min(w.limit, narrowed), w.minimum)
 }
--- a/internal/scheduler/loadwindow_test.go
+++ b/internal/scheduler/loadwindow_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// loadUntil plays loads of a fleet whose way to the weights carries so many at
-// full speed, and returns the most that were under way at once in the last round.
-func loadUntil(t *testing.T, engines, carried, rounds int) int {
+// simulateLoads runs rounds of loads in a fleet whose bandwidth to the weights supports capacity
+// loads at full speed. It returns the maximum concurrency in the last round.
+func simulateLoads(t *testing.T, engines, capacity, rounds int) int {
 	t.Helper()
 	f := newFixture(t, nil)
 	versions := make(map[string]int64)
@@ -18,79 +18,79 @@
 	f.servers(4, versions)
 	f.machine.HandleLease(f.now, 7, true)
 	f.take()
-	atOnce := 0
+	concurrent := 0
 	for round := range rounds {
 		f.machine.HandleVersion(f.now, "m", int64(round+2))
 		f.take()
 		most := 0
 		for len(f.orders) > 0 {
-			under := f.orders
+			running := f.orders
 			f.orders = nil
-			most = max(most, len(under))
-			f.now = f.now.Add(time.Duration(float64(time.Second) * max(1, float64(len(under))/float64(carried))))
-			for _, order := range under {
-				f.machine.HandleLoad(f.now, order.Server, "m", Load{Ordered: true, Version: order.Version})
+			most = max(most, len(running))
+			f.now = f.now.Add(time.Duration(float64(time.Second) * max(1, float64(len(running))/float64(capacity))))
+			for _, order := range running {
+				f.machine.HandleLoad(f.now, order.Server, "m", LoadResult{Confirmed: true, Version: order.Version})
 			}
-			f.fresh()
+			f.readPartition()
 		}
-		atOnce = most
+		concurrent = most
 	}
-	return atOnce
+	return concurrent
 }
 
-func TestLoadsAtOnceFollowWhatTheWayToTheWeightsCarries(t *testing.T) {
-	if got := loadUntil(t, 48, 10, 6); got < 9 {
-		t.Errorf("%d loads at once where 10 are carried at full speed", got)
+func TestConcurrentLoadsGrowToTheWeightBandwidth(t *testing.T) {
+	if got := simulateLoads(t, 48, 10, 6); got < 9 {
+		t.Errorf("%d concurrent loads, though 10 run at full speed", got)
 	}
 }
 
-func TestLoadsAtOnceStayFewWhereTheyBecomeSlower(t *testing.T) {
-	if got := loadUntil(t, 12, 2, 6); got > 3 {
-		t.Errorf("%d loads at once where 2 are carried at full speed", got)
+func TestConcurrentLoadsStayLowWhenLoadsSlowDown(t *testing.T) {
+	if got := simulateLoads(t, 12, 2, 6); got > 3 {
+		t.Errorf("%d concurrent loads, though only 2 run at full speed", got)
 	}
 }
 
-func TestALoadWindowDoesNotWidenForOthersFaults(t *testing.T) {
+func TestLoadWindowShrinksOnSlowLoadsAndRetriesLater(t *testing.T) {
 	window := newLoadWindow(2, 0)
 	now := time.Unix(1000, 0)
 	window.observe(now, time.Second, 2, 2)
 	window.observe(now, 5*time.Second, 1, 1)
 	if window.limit != 3 {
-		t.Errorf("one slow load alone leaves a window of %d", window.limit)
+		t.Errorf("window %d after a single slow load", window.limit)
 	}
 	window.observe(now, 2*time.Second, 3, 3)
 	if window.limit != 2 {
-		t.Errorf("slow loads leave a window of %d", window.limit)
+		t.Errorf("window %d after slow concurrent loads", window.limit)
 	}
 	window.observe(now, time.Second, 2, 2)
 	if window.limit != 2 {
-		t.Errorf("a window that was too wide is at once %d again", window.limit)
+		t.Errorf("window %d right after it was too wide", window.limit)
 	}
-	window.observe(now.Add(windowRetry+time.Second), time.Second, 2, 2)
+	window.observe(now.Add(windowRetryDelay+time.Second), time.Second, 2, 2)
 	if window.limit != 3 {
-		t.Errorf("a window that was too wide is not tried again: %d", window.limit)
+		t.Errorf("window %d after the retry delay", window.limit)
 	}
 }
 
-// A load that is slow while few are under way says nothing of many: its server, or the node
-// that looks at it, was slow.
-func TestASlowLoadAmongFewDoesNotNarrowAWideWindow(t *testing.T) {
+// A slow load while few loads are running is caused by its server or the observing node, not by
+// the size of the window.
+func TestSlowLoadAtLowConcurrencyDoesNotShrinkWindow(t *testing.T) {
 	window := newLoadWindow(2, 20)
 	now := time.Unix(1000, 0)
 	window.observe(now, time.Second, 20, 20)
 	before := window.limit
 	window.observe(now, 1500*time.Millisecond, 3, 3)
 	if window.limit != before {
-		t.Errorf("a window of %d became one of %d", before, window.limit)
+		t.Errorf("window changed from %d to %d", before, window.limit)
 	}
 	window.observe(now, 1500*time.Millisecond, before, before)
 	if window.limit >= before || window.limit < before*3/4 {
-		t.Errorf("slow loads in a full window of %d leave one of %d", before, window.limit)
+		t.Errorf("slow loads in a full window of %d left %d", before, window.limit)
 	}
 }
 
-// The first load of many is one of many, though it began alone.
-func TestLoadsThatBeginOneByOneCountAsMany(t *testing.T) {
+// The first of many concurrent loads counts all of them, although it started alone.
+func TestStaggeredLoadsCountAsConcurrent(t *testing.T) {
 	f := newFixture(t, nil)
 	versions := make(map[string]int64)
 	for i := range 48 {
@@ -101,11 +101,11 @@
 	f.machine.HandleVersion(f.now, "m", 2)
 	f.take()
 	if len(f.orders) < 8 {
-		t.Fatalf("%d loads at once", len(f.orders))
+		t.Fatalf("%d concurrent loads", len(f.orders))
 	}
 	for _, order := range f.orders {
-		if got := f.machine.engines[order.Server.ID].loadsAtOnce; got != len(f.orders) {
-			t.Errorf("a load of %d at once counts as one of %d", len(f.orders), got)
+		if got := f.machine.engines[order.Server.ID].maxConcurrentLoads; got != len(f.orders) {
+			t.Errorf("%d concurrent loads, but the engine recorded %d", len(f.orders), got)
 		}
 	}
 }
--- a/internal/scheduler/machine_test.go
+++ b/internal/scheduler/machine_test.go
@@ -13,14 +13,14 @@
 	"dalehook/internal/routetable"
 )
 
-// fixture drives a machine on a clock of its own, and keeps what it decided.
+// fixture drives a machine with a simulated clock and collects its output.
 type fixture struct {
 	t        *testing.T
 	machine  *Machine
 	now      time.Time
 	starts   []Start
 	cancels  []Cancel
-	orders   []Order
+	orders   []LoadOrder
 	results  []batch.Result
 	progress []Progress
 }
@@ -36,17 +36,17 @@
 	}
 	service := routetable.Service{Name: "pool", Models: []string{"m"}}
 	f.machine.HandleTable(f.now, routetable.NewTable(1, []routetable.Route{route}, []routetable.Service{service}, routetable.Limits{}))
-	f.fresh()
+	f.readPartition()
 	return f
 }
 
-func (f *fixture) fresh() {
-	f.machine.HandleFresh(f.now, 0, f.now)
+func (f *fixture) readPartition() {
+	f.machine.HandlePartitionRead(f.now, 0, f.now)
 	f.take()
 }
 
 func (f *fixture) take() {
-	output := f.machine.Take()
+	output := f.machine.TakeOutput()
 	f.starts = append(f.starts, output.Starts...)
 	f.cancels = append(f.cancels, output.Cancels...)
 	f.orders = append(f.orders, output.Orders...)
@@ -54,7 +54,7 @@
 	f.progress = append(f.progress, output.Progress...)
 }
 
-// servers lists servers of the pool: id to loaded version.
+// servers lists servers of the pool, given as ID to loaded version.
 func (f *fixture) servers(slots int, versions map[string]int64) {
 	var servers []*directory.Server
 	for id, version := range versions {
@@ -66,7 +66,7 @@
 	f.take()
 }
 
-func (f *fixture) job(id string, minimum int64, expected ...int) {
+func (f *fixture) submit(id string, minimum int64, expected ...int) {
 	job := &batch.Job{ID: id, Host: "h", Path: "/p/" + id, Model: "m", MinVersion: minimum}
 	for i, tokens := range expected {
 		job.Items = append(job.Items, batch.Item{ID: fmt.Sprintf("%s-%d", id, i), Path: "/p/x", Expected: tokens})
@@ -85,9 +85,9 @@
 	f.take()
 }
 
-func (f *fixture) pass(d time.Duration) {
+func (f *fixture) advance(d time.Duration) {
 	f.now = f.now.Add(d)
-	f.fresh()
+	f.readPartition()
 	f.machine.Tick(f.now)
 	f.take()
 }
@@ -100,10 +100,10 @@
 	return items
 }
 
-func TestLongestItemsStartFirstWithinTheSlots(t *testing.T) {
+func TestLongestItemsStartFirst(t *testing.T) {
 	f := newFixture(t, nil)
 	f.servers(1, map[string]int64{"a": 1, "b": 1})
-	f.job("j", 1, 10, 30, 20)
+	f.submit("j", 1, 10, 30, 20)
 	if diff := cmp.Diff([]string{"j-1", "j-2"}, f.startedItems()); diff != "" {
 		t.Fatal(diff)
 	}
@@ -113,18 +113,18 @@
 	}
 }
 
-// An item that has not waited for long leaves an engine alone that is known to be slow: a slot
-// elsewhere is free sooner than the item would have to be moved.
-func TestItemsWaitForAWhileBeforeTheyTakeASlowEngine(t *testing.T) {
+// An item that has not waited long does not take an engine known to be slow: a slot elsewhere
+// becomes free sooner than the item would be moved.
+func TestItemsWaitBeforeUsingASlowEngine(t *testing.T) {
 	f := newFixture(t, nil)
 	f.servers(1, map[string]int64{"a": 1, "b": 1, "c": 1})
 	slow := func() {
 		for id, gap := range map[string]float64{"a": 0.08, "b": 0.08, "c": 0.3} {
-			f.machine.engines[id].gap, f.machine.engines[id].pacedAt = gap, f.now
+			f.machine.engines[id].gap, f.machine.engines[id].gapSampledAt = gap, f.now
 		}
 	}
 	slow()
-	f.job("j", 1, 30, 20, 10)
+	f.submit("j", 1, 30, 20, 10)
 	if diff := cmp.Diff([]string{"j-0", "j-1"}, f.startedItems()); diff != "" {
 		t.Fatal(diff)
 	}
@@ -133,22 +133,22 @@
 		t.Fatal(diff)
 	}
 	if server := f.starts[2].Server.ID; server == "c" {
-		t.Error("the item took the slow engine")
+		t.Error("the item started on the slow engine")
 	}
-	f.job("k", 1, 10)
-	f.pass(slowPatience / 2)
+	f.submit("k", 1, 10)
+	f.advance(slowEnginePatience / 2)
 	if len(f.starts) != 3 {
 		t.Fatalf("started %v", f.startedItems())
 	}
 	slow()
-	f.pass(slowPatience)
+	f.advance(slowEnginePatience)
 	if len(f.starts) != 4 || f.starts[3].Server.ID != "c" {
-		t.Errorf("an item that has waited is not started: %v", f.startedItems())
+		t.Errorf("the item did not start after its wait: %v", f.startedItems())
 	}
 }
 
-// An engine is slow by the pace of its own service; another service may have faster ones.
-func TestAServiceOfSlowerEnginesIsNotTakenForSlow(t *testing.T) {
+// An engine is slow relative to its own service; another service may have faster engines.
+func TestSlownessIsJudgedPerService(t *testing.T) {
 	f := newFixture(t, nil)
 	var servers []*directory.Server
 	for id, service := range map[string]string{"a": "pool", "b": "pool", "x": "other", "y": "other", "z": "other"} {
@@ -157,36 +157,36 @@
 		})
 	}
 	f.machine.HandleServers(f.now, servers)
-	for _, known := range f.machine.engines {
-		known.gap, known.pacedAt = 0.08, f.now
-		if known.service == "pool" {
-			known.gap = 0.3
+	for _, eng := range f.machine.engines {
+		eng.gap, eng.gapSampledAt = 0.08, f.now
+		if eng.service == "pool" {
+			eng.gap = 0.3
 		}
 	}
-	f.job("j", 1, 20, 10)
+	f.submit("j", 1, 20, 10)
 	if len(f.starts) != 2 {
 		t.Errorf("started %v", f.startedItems())
 	}
 }
 
-// What was slow some time ago may be sound again; it is tried.
-func TestASlowEngineIsTriedAgain(t *testing.T) {
+// A gap sample that has expired no longer marks the engine as slow.
+func TestSlowEngineIsRetried(t *testing.T) {
 	f := newFixture(t, nil)
 	f.servers(1, map[string]int64{"a": 1, "b": 1, "c": 1})
 	for id, gap := range map[string]float64{"a": 0.08, "b": 0.08, "c": 0.3} {
-		f.machine.engines[id].gap, f.machine.engines[id].pacedAt = gap, f.now
+		f.machine.engines[id].gap, f.machine.engines[id].gapSampledAt = gap, f.now
 	}
-	f.pass(paceFreshFor + time.Second)
-	f.job("j", 1, 30, 20, 10)
+	f.advance(slowEngineExpiry + time.Second)
+	f.submit("j", 1, 30, 20, 10)
 	if len(f.starts) != 3 {
 		t.Errorf("started %v", f.startedItems())
 	}
 }
 
-func TestAResultHoldsTheTextAndItsVersions(t *testing.T) {
+func TestResultHasTextAndVersions(t *testing.T) {
 	f := newFixture(t, nil)
 	f.servers(1, map[string]int64{"a": 1})
-	f.job("j", 1, 10)
+	f.submit("j", 1, 10)
 	f.event(1, "1", 1)
 	f.event(1, "2", 2)
 	f.end(1, EndCompleted)
@@ -196,10 +196,10 @@
 	}
 }
 
-func TestABrokenItemGoesOnElsewhere(t *testing.T) {
+func TestBrokenItemResumesOnAnotherEngine(t *testing.T) {
 	f := newFixture(t, nil)
 	f.servers(1, map[string]int64{"a": 1, "b": 1})
-	f.job("j", 1, 10)
+	f.submit("j", 1, 10)
 	f.event(1, "1", 1)
 	f.event(1, "2", 1)
 	f.end(1, EndBroken)
@@ -213,74 +213,74 @@
 	}
 }
 
-func TestAStalledItemIsMovedOnceItsAttemptEnded(t *testing.T) {
+func TestStalledItemMovesAfterItsAttemptEnds(t *testing.T) {
 	f := newFixture(t, nil)
 	f.servers(1, map[string]int64{"a": 1, "b": 1})
-	f.job("j", 1, 10)
+	f.submit("j", 1, 10)
 	f.event(1, "1", 1)
-	f.pass(DefaultStallTimeout + time.Millisecond)
+	f.advance(DefaultStallTimeout + time.Millisecond)
 	if len(f.cancels) != 1 || len(f.starts) != 1 {
 		t.Fatalf("cancels %v, starts %v", f.cancels, f.starts)
 	}
-	f.event(1, "2", 1) // comes too late to count
+	f.event(1, "2", 1) // ignored after the cancellation
 	f.end(1, EndCancelled)
 	if len(f.starts) != 2 || f.starts[1].After != "1" || f.starts[1].Server == f.starts[0].Server {
 		t.Errorf("starts %+v", f.starts)
 	}
 }
 
-func TestFailuresGiveAnItemUp(t *testing.T) {
+func TestItemIsDeadAfterMaxAttempts(t *testing.T) {
 	f := newFixture(t, nil)
 	f.servers(1, map[string]int64{"a": 1})
-	f.job("j", 1, 10)
+	f.submit("j", 1, 10)
 	for attempt := AttemptID(1); attempt <= 3; attempt++ {
 		if len(f.results) > 0 {
-			t.Fatalf("given up after %d failures", attempt-1)
+			t.Fatalf("dead after %d failures", attempt-1)
 		}
 		f.end(attempt, EndFailed)
 	}
 	if len(f.results) != 1 || f.results[0].Outcome != batch.OutcomeDead {
 		t.Errorf("results %+v", f.results)
 	}
-	f.pass(time.Second)
+	f.advance(time.Second)
 	if len(f.starts) != 3 {
 		t.Errorf("%d starts", len(f.starts))
 	}
 }
 
-func TestAnImpossibleItemIsGivenUpAtOnce(t *testing.T) {
+func TestImpossibleItemIsDeadAtOnce(t *testing.T) {
 	f := newFixture(t, nil)
 	f.servers(1, map[string]int64{"a": 1})
-	f.job("j", 1, 10)
+	f.submit("j", 1, 10)
 	f.end(1, EndImpossible)
 	if len(f.results) != 1 || f.results[0].Outcome != batch.OutcomeDead {
 		t.Errorf("results %+v", f.results)
 	}
 }
 
-func TestItemsAreGivenUpAfterTheirLifetime(t *testing.T) {
+func TestItemsExpireAfterTheirLifetime(t *testing.T) {
 	f := newFixture(t, nil)
-	f.job("j", 1, 10)
-	f.pass(39 * time.Second)
+	f.submit("j", 1, 10)
+	f.advance(39 * time.Second)
 	if len(f.results) != 0 {
-		t.Fatal("given up too early")
+		t.Fatal("expired too early")
 	}
-	f.pass(2 * time.Second)
+	f.advance(2 * time.Second)
 	if len(f.results) != 1 || f.results[0].Outcome != batch.OutcomeDead {
 		t.Errorf("results %+v", f.results)
 	}
 }
 
-func TestOldWeightsDoNotServe(t *testing.T) {
+func TestItemsRequireMinimumVersion(t *testing.T) {
 	f := newFixture(t, nil)
 	f.servers(4, map[string]int64{"old": 1, "new": 2})
-	f.job("j", 2, 10, 10)
+	f.submit("j", 2, 10, 10)
 	for _, start := range f.starts {
 		if start.Server.ID != "new" {
 			t.Errorf("started at %s", start.Server.ID)
 		}
 	}
-	// A server that turns out to be older than was known: nothing of it is kept.
+	// The server turns out to be older than listed: its text is discarded.
 	f.event(1, "1", 1)
 	if len(f.cancels) != 1 {
 		t.Fatalf("cancels %v", f.cancels)
@@ -288,7 +288,7 @@
 	f.end(1, EndCancelled)
 	for _, start := range f.starts[2:] {
 		if start.After != "" {
-			t.Errorf("goes on after %q", start.After)
+			t.Errorf("resumes after %q", start.After)
 		}
 	}
 }
@@ -296,7 +296,7 @@
 func TestSingleVersionTextsAreNotMixed(t *testing.T) {
 	f := newFixture(t, func(route *routetable.Route) { route.SingleVersion = true })
 	f.servers(1, map[string]int64{"a": 1})
-	f.job("j", 1, 10)
+	f.submit("j", 1, 10)
 	if f.starts[0].ExpectVersion != 1 {
 		t.Errorf("expects version %d", f.starts[0].ExpectVersion)
 	}
@@ -308,25 +308,25 @@
 	}
 }
 
-func TestNothingStartsOnStaleJobs(t *testing.T) {
+func TestNothingStartsOnStalePartition(t *testing.T) {
 	f := newFixture(t, nil)
-	f.job("j", 1, 10)
+	f.submit("j", 1, 10)
 	f.now = f.now.Add(DefaultFreshnessLimit + time.Millisecond)
 	f.servers(1, map[string]int64{"a": 1})
 	if len(f.starts) != 0 {
-		t.Fatal("an item started though its job may have ended")
+		t.Fatal("an item started on stale job data")
 	}
-	f.fresh()
+	f.readPartition()
 	if len(f.starts) != 1 {
-		t.Error("the item did not start once its job was read")
+		t.Error("the item did not start after its partition was read")
 	}
 }
 
-func TestTheEndOfAJobCancelsItsItems(t *testing.T) {
+func TestJobEndCancelsItsItems(t *testing.T) {
 	f := newFixture(t, nil)
 	f.servers(1, map[string]int64{"a": 1})
-	f.job("j", 1, 10, 10)
-	f.machine.HandleEnded(f.now, "j")
+	f.submit("j", 1, 10, 10)
+	f.machine.HandleJobEnd(f.now, "j")
 	f.take()
 	f.end(1, EndCancelled)
 	if len(f.cancels) != 1 || len(f.starts) != 1 {
@@ -334,56 +334,57 @@
 	}
 }
 
-func TestLoadsAreOrderedAFewAtATime(t *testing.T) {
+func TestConcurrentLoadsAreLimited(t *testing.T) {
 	f := newFixture(t, nil)
 	f.servers(4, map[string]int64{"a": 1, "b": 1, "c": 1})
 	f.machine.HandleVersion(f.now, "m", 2)
 	f.take()
 	if len(f.orders) != 0 {
-		t.Fatal("ordered without the lease")
+		t.Fatal("load ordered without the lease")
 	}
 	f.machine.HandleLease(f.now, 7, true)
 	f.take()
 	if len(f.orders) != DefaultConcurrentLoads || f.orders[0].Epoch != 7 || f.orders[0].Version != 2 {
 		t.Fatalf("orders %+v", f.orders)
 	}
-	f.machine.HandleLoad(f.now, f.orders[0].Server, "m", Load{Ordered: true, Version: 2})
+	f.machine.HandleLoad(f.now, f.orders[0].Server, "m", LoadResult{Confirmed: true, Version: 2})
 	f.take()
 	if len(f.orders) != 3 {
 		t.Errorf("orders %+v", f.orders)
 	}
 }
 
-func TestABusyEngineLoadsWhenItsVersionServesNothing(t *testing.T) {
+func TestBusyEngineLoadsWhenItsVersionIsTooOldForWaitingItems(t *testing.T) {
 	f := newFixture(t, nil)
 	f.servers(1, map[string]int64{"a": 1})
-	f.job("j", 1, 10)
+	f.submit("j", 1, 10)
 	f.machine.HandleLease(f.now, 1, true)
 	f.machine.HandleVersion(f.now, "m", 2)
 	f.take()
 	if len(f.orders) != 0 {
-		t.Fatal("a busy engine was ordered though its version serves")
+		t.Fatal("load ordered on a busy engine whose version still serves")
 	}
-	f.job("k", 2, 10)
+	f.submit("k", 2, 10)
 	if len(f.orders) != 1 {
 		t.Errorf("orders %+v", f.orders)
 	}
 }
 
-func TestBusyEnginesLoadWhileOthersTakeItems(t *testing.T) {
+func TestBusyEnginesLoadWhileOthersAreAvailable(t *testing.T) {
 	f := newFixture(t, nil)
 	f.servers(1, map[string]int64{"a": 1, "b": 1, "c": 1})
-	f.job("j", 1, 10, 10, 10)
+	f.submit("j", 1, 10, 10, 10)
 	f.machine.HandleLease(f.now, 1, true)
 	f.machine.HandleVersion(f.now, "m", 2)
 	f.take()
 	if len(f.orders) != 1 {
-		t.Fatalf("of three busy engines whose version serves, %d were ordered", len(f.orders))
+		t.Fatalf("%d of three busy engines whose version still serves were ordered to load", len(f.orders))
 	}
 }
 
-// The engines of the model whose items wait load first, whatever its versions are.
-func TestLoadsThatItemsWaitForComeFirst(t *testing.T) {
+// Engines of the model with waiting items load first, whatever the version numbers of the models
+// are.
+func TestLoadsForWaitingItemsComeFirst(t *testing.T) {
 	machine := NewMachine(Options{ConcurrentLoads: 1})
 	now := time.Unix(1000, 0)
 	var routes []routetable.Route
@@ -395,7 +396,7 @@
 	}
 	service := routetable.Service{Name: "pool", Models: []string{"m", "n"}}
 	machine.HandleTable(now, routetable.NewTable(1, routes, []routetable.Service{service}, routetable.Limits{}))
-	machine.HandleFresh(now, 0, now)
+	machine.HandlePartitionRead(now, 0, now)
 	var servers []*directory.Server
 	for _, id := range []string{"a", "b", "c", "d"} {
 		servers = append(servers, &directory.Server{ID: id, Service: "pool", Slots: 2, Versions: map[string]int64{"m": 3, "n": 8}})
@@ -404,15 +405,15 @@
 	machine.HandleVersion(now, "m", 4)
 	machine.HandleVersion(now, "n", 9)
 	machine.HandleJob(now, 0, &batch.Job{ID: "j", Host: "h", Path: "/n/j", Model: "n", MinVersion: 9, Items: []batch.Item{{ID: "i", Path: "/n/i"}}}, nil)
-	machine.Take()
+	machine.TakeOutput()
 	machine.HandleLease(now, 1, true)
-	orders := machine.Take().Orders
+	orders := machine.TakeOutput().Orders
 	if len(orders) != 1 || orders[0].Model != "n" {
 		t.Errorf("orders %+v", orders)
 	}
 }
 
-func TestTheOldestEnginesLoadFirst(t *testing.T) {
+func TestEnginesWithOldestVersionsLoadFirst(t *testing.T) {
 	f := newFixture(t, nil)
 	f.servers(1, map[string]int64{"a": 3, "b": 2, "c": 3, "d": 1})
 	f.machine.HandleLease(f.now, 1, true)
@@ -427,14 +428,14 @@
 	}
 }
 
-func TestRunsOfASingleVersionEndBeforeALoad(t *testing.T) {
+func TestSingleVersionRunsFinishBeforeLoad(t *testing.T) {
 	f := newFixture(t, func(route *routetable.Route) { route.SingleVersion = true })
 	f.servers(2, map[string]int64{"a": 1})
-	f.job("j", 1, 10)
+	f.submit("j", 1, 10)
 	f.machine.HandleLease(f.now, 1, true)
 	f.machine.HandleVersion(f.now, "m", 2)
-	f.job("k", 2, 10)
-	f.job("l", 1, 10)
+	f.submit("k", 2, 10)
+	f.submit("l", 1, 10)
 	if len(f.orders) != 0 || len(f.starts) != 1 {
 		t.Fatalf("orders %+v, starts %+v", f.orders, f.starts)
 	}
@@ -482,8 +483,8 @@
 	}
 }
 
-// grouped adds a job whose items are given as group/id.
-func (f *fixture) grouped(id string, minimum int64, items ...string) {
+// submitGroups submits a job whose items are given as group/id.
+func (f *fixture) submitGroups(id string, minimum int64, items ...string) {
 	job := &batch.Job{ID: id, Host: "h", Path: "/p/" + id, Model: "m", MinVersion: minimum}
 	for _, name := range items {
 		group, _, _ := strings.Cut(name, "/")
@@ -494,25 +495,25 @@
 }
 
 func (f *fixture) endJob(id string) {
-	f.machine.HandleEnded(f.now, id)
+	f.machine.HandleJobEnd(f.now, id)
 	f.take()
 }
 
-func TestCarriedItemsKeepWhatTheyMade(t *testing.T) {
+func TestResubmittedItemsKeepTheirText(t *testing.T) {
 	f := newFixture(t, nil)
 	f.servers(8, map[string]int64{"a": 2})
-	f.grouped("j", 1, "g/0", "g/1", "g/2", "h/0")
+	f.submitGroups("j", 1, "g/0", "g/1", "g/2", "h/0")
 	f.event(1, "1", 2)
 	f.end(1, EndCompleted)
-	f.machine.HandleListed(f.now, &f.results[0])
+	f.machine.HandleResult(f.now, &f.results[0])
 	f.event(2, "1", 2)
 	f.endJob("j")
 	if len(f.cancels) != 0 {
 		t.Fatalf("runs of unfinished groups were cancelled: %v", f.cancels)
 	}
-	f.event(2, "2", 2) // a run of the ended job goes on
+	f.event(2, "2", 2) // the run continues after its job ended
 	f.end(3, EndBroken)
-	f.grouped("k", 2, "g/0", "g/1", "g/2")
+	f.submitGroups("k", 2, "g/0", "g/1", "g/2")
 	want := batch.Result{JobID: "k", ItemID: "g/0", Text: "data 1", Versions: []int64{2}}
 	if diff := cmp.Diff(want, f.results[1]); diff != "" {
 		t.Error(diff)
@@ -527,33 +528,33 @@
 	}
 }
 
-func TestCarriedItemsOfOldVersionsStartAnew(t *testing.T) {
+func TestResubmittedItemsOfOldVersionsRestart(t *testing.T) {
 	f := newFixture(t, nil)
 	f.servers(8, map[string]int64{"a": 1})
-	f.grouped("j", 1, "g/0", "g/1")
+	f.submitGroups("j", 1, "g/0", "g/1")
 	f.event(1, "1", 1)
 	f.end(1, EndCompleted)
-	f.machine.HandleListed(f.now, &f.results[0])
+	f.machine.HandleResult(f.now, &f.results[0])
 	f.event(2, "1", 1)
 	f.endJob("j")
 	f.servers(8, map[string]int64{"a": 2})
-	f.grouped("k", 2, "g/0", "g/1")
+	f.submitGroups("k", 2, "g/0", "g/1")
 	if len(f.results) != 1 || len(f.cancels) != 1 {
 		t.Fatalf("results %+v, cancels %v", f.results, f.cancels)
 	}
 	for _, start := range f.starts[2:] {
 		if start.After != "" {
-			t.Errorf("%s goes on after %q", start.Item.ID, start.After)
+			t.Errorf("%s resumes after %q", start.Item.ID, start.After)
 		}
 	}
 }
 
-func TestRunsOfAnEndedJobEndWhenNothingFollows(t *testing.T) {
+func TestRetainedRunsAreCancelledAfterTimeout(t *testing.T) {
 	f := newFixture(t, nil)
 	f.servers(8, map[string]int64{"a": 1})
-	f.grouped("j", 1, "g/0")
+	f.submitGroups("j", 1, "g/0")
 	f.endJob("j")
-	f.pass(keptRunFor + time.Millisecond)
+	f.advance(retainedRunTimeout + time.Millisecond)
 	if len(f.cancels) != 1 {
 		t.Errorf("cancels %v", f.cancels)
 	}
@@ -583,10 +584,10 @@
 	}
 }
 
-func TestASuccessorGoesOnFromWhatWasSaved(t *testing.T) {
+func TestSuccessorResumesFromSavedProgress(t *testing.T) {
 	f := newFixture(t, nil)
 	f.servers(8, map[string]int64{"a": 1})
-	f.job("j", 1, 10)
+	f.submit("j", 1, 10)
 	for id := 1; id <= 6; id++ {
 		f.event(1, fmt.Sprint(id), 1)
 	}
@@ -601,11 +602,11 @@
 		}
 	}
 	successor := newFixture(t, nil)
-	successor.machine.HandleRecovered(successor.now, 0, fold.Partials())
+	successor.machine.HandleRecoveredProgress(successor.now, 0, fold.Partials())
 	successor.servers(8, map[string]int64{"a": 1})
-	successor.job("j", 1, 10)
+	successor.submit("j", 1, 10)
 	if got := successor.starts[0].After; got != "6" {
-		t.Fatalf("the successor goes on after %q", got)
+		t.Fatalf("the successor resumes after %q", got)
 	}
 	successor.event(1, "7", 1)
 	successor.end(1, EndCompleted)
@@ -614,9 +615,9 @@
 	}
 }
 
-// An item that came again stands in the partitions of both jobs; what was made for the
-// earlier one may be too old for the later.
-func TestASuccessorTakesWhatWasSavedForTheJobItself(t *testing.T) {
+// A resubmitted item has progress in the partitions of both jobs; that of the earlier job may be
+// too old for the later one.
+func TestSuccessorPrefersProgressOfTheSameJob(t *testing.T) {
 	old := map[string]*batch.Partial{"j-0": {LastID: "9", Text: []string{"old"}, Versions: []int64{1}}}
 	own := map[string]*batch.Partial{"j-0": {LastID: "4", Text: []string{"own"}, Versions: []int64{2}}}
 	cases := []struct {
@@ -626,45 +627,45 @@
 	}{
 		{"both", old, own, "4"},
 		{"too old", old, nil, ""},
-		{"another job's that fits", own, nil, "4"},
+		{"acceptable progress of another job", own, nil, "4"},
 	}
 	for _, c := range cases {
 		f := newFixture(t, nil)
-		f.machine.HandleRecovered(f.now, 3, c.first)
-		f.machine.HandleRecovered(f.now, 0, c.here)
+		f.machine.HandleRecoveredProgress(f.now, 3, c.first)
+		f.machine.HandleRecoveredProgress(f.now, 0, c.here)
 		f.servers(8, map[string]int64{"a": 2})
-		f.job("j", 2, 10)
+		f.submit("j", 2, 10)
 		if got := f.starts[0].After; got != c.after {
-			t.Errorf("%s: goes on after %q, want %q", c.name, got, c.after)
+			t.Errorf("%s: resumes after %q, want %q", c.name, got, c.after)
 		}
 	}
 }
 
-// A load that does not come to an end must not hold the runs of its engine.
-func TestRunsLeaveAnEngineWhoseLoadHangs(t *testing.T) {
+// A load that never ends must not keep the runs of its engine.
+func TestRunsLeaveEngineWithHangingLoad(t *testing.T) {
 	f := newFixture(t, func(route *routetable.Route) { route.Resumable = true })
 	f.servers(1, map[string]int64{"a": 1})
-	f.job("j", 1, 10)
+	f.submit("j", 1, 10)
 	f.event(1, "1", 1)
-	f.machine.order(f.now, f.machine.engines["a"])
+	f.machine.orderLoad(f.now, f.machine.engines["a"])
 	f.take()
 	for range 10 {
-		f.pass(DefaultStallTimeout / 5)
+		f.advance(DefaultStallTimeout / 5)
 	}
 	if len(f.cancels) != 0 {
-		t.Fatal("cancelled during a load")
+		t.Fatal("run cancelled during a load")
 	}
 	for range 10 {
-		f.pass(DefaultStallTimeout / 5)
+		f.advance(DefaultStallTimeout / 5)
 	}
 	if len(f.cancels) != 1 {
 		t.Errorf("cancels %v", f.cancels)
 	}
 }
 
-// A run that a later job takes over is saved with that job, all of it, and so is one that
+// A run that is claimed by a later job is saved as a checkpoint of that job, and so is a run that
 // lasts longer than saved progress is kept.
-func TestCheckpointsHoldAllOfTheText(t *testing.T) {
+func TestCheckpointsHoldTheFullText(t *testing.T) {
 	f := newFixture(t, nil)
 	f.servers(8, map[string]int64{"a": 1})
 	group := func(id string) *batch.Job {
@@ -675,7 +676,7 @@
 	f.take()
 	events := 0
 	save := func() Progress {
-		for range minimumSaved {
+		for range minUnsavedEvents {
 			events++
 			f.event(1, fmt.Sprint(events), 1)
 		}
@@ -683,36 +684,36 @@
 		return saved[len(saved)-1]
 	}
 	if got := save(); !got.Checkpoint || got.JobID != "first" {
-		t.Errorf("the first progress: %+v", got)
+		t.Errorf("first progress: %+v", got)
 	}
 	if got := save(); got.Checkpoint || got.From != "5" {
-		t.Errorf("the second progress: %+v", got)
+		t.Errorf("second progress: %+v", got)
 	}
-	f.machine.HandleEnded(f.now, "first")
+	f.machine.HandleJobEnd(f.now, "first")
 	f.machine.HandleJob(f.now, 0, group("second"), nil)
 	f.take()
 	got := save()
 	if !got.Checkpoint || got.JobID != "second" || got.LastID != "15" || strings.Count(got.Text, "data") != 15 {
-		t.Errorf("the progress of the second job: %+v", got)
+		t.Errorf("progress of the second job: %+v", got)
 	}
 	if got := save(); got.Checkpoint {
-		t.Errorf("the progress after it: %+v", got)
+		t.Errorf("progress after the checkpoint: %+v", got)
 	}
 	f.now = f.now.Add(checkpointInterval)
 	if got := save(); !got.Checkpoint || strings.Count(got.Text, "data") != 25 {
-		t.Errorf("the progress after a long time: %+v", got)
+		t.Errorf("progress after the checkpoint interval: %+v", got)
 	}
 }
 
 func (f *fixture) savedProgress() []Progress {
-	f.pass(DefaultSaveInterval + time.Millisecond)
+	f.advance(DefaultSaveInterval + time.Millisecond)
 	return f.progress
 }
 
-func TestRunsMoveToFasterEnginesOnceNothingWaits(t *testing.T) {
+func TestRunsMoveToFasterEnginesWhenNothingWaits(t *testing.T) {
 	f := newFixture(t, func(route *routetable.Route) { route.Resumable = true })
 	f.servers(1, map[string]int64{"a": 1, "b": 1})
-	f.job("j", 1, 30, 20, 10)
+	f.submit("j", 1, 30, 20, 10)
 	slow, fast := f.starts[0], f.starts[1]
 	events := 0
 	pace := func() {
@@ -727,14 +728,14 @@
 	}
 	pace()
 	pace()
-	f.pass(time.Millisecond)
+	f.advance(time.Millisecond)
 	if len(f.cancels) != 0 {
 		t.Fatal("a run was moved while an item waited")
 	}
 	f.end(fast.Attempt, EndCompleted)
 	third := f.starts[2]
 	f.end(third.Attempt, EndCompleted)
-	f.pass(time.Millisecond)
+	f.advance(time.Millisecond)
 	if len(f.cancels) != 1 || f.cancels[0].Attempt != slow.Attempt {
 		t.Fatalf("cancels %v", f.cancels)
 	}
@@ -745,12 +746,11 @@
 	}
 }
 
-// Equal inputs give equal outputs, whatever the order of maps.
-// Events that were held up come all at once; that makes no engine fast.
-func TestEventsThatComeAtOnceDoNotMakeAnEngineFast(t *testing.T) {
+// Delayed events that arrive in a burst must not make an engine appear fast.
+func TestBurstOfDelayedEventsDoesNotSkewGap(t *testing.T) {
 	f := newFixture(t, nil)
 	f.servers(1, map[string]int64{"a": 1})
-	f.job("j", 1, 10)
+	f.submit("j", 1, 10)
 	number := 0
 	for range 10 {
 		f.now = f.now.Add(200 * time.Millisecond)
@@ -761,22 +761,22 @@
 	}
 	engines, _ := f.machine.Summary(f.now)
 	if got := engines[0].Gap; got < 40 || got > 70 {
-		t.Errorf("the pace of 50 ms an event is taken for %d ms", got)
+		t.Errorf("event gap %d ms, want about 50 ms", got)
 	}
 }
 
-func TestTheMachineIsDeterministic(t *testing.T) {
+func TestMachineIsDeterministic(t *testing.T) {
 	run := func() []Start {
 		f := newFixture(t, nil)
 		f.servers(2, map[string]int64{"a": 1, "b": 1, "c": 1, "d": 1})
-		f.job("j", 1, 5, 5, 5, 5, 5, 5, 5, 5, 5)
-		f.job("k", 1, 5, 5, 5)
-		f.machine.HandleListed(f.now, &batch.Result{JobID: "j", ItemID: "j-4"})
+		f.submit("j", 1, 5, 5, 5, 5, 5, 5, 5, 5, 5)
+		f.submit("k", 1, 5, 5, 5)
+		f.machine.HandleResult(f.now, &batch.Result{JobID: "j", ItemID: "j-4"})
 		f.take()
 		for i := range 6 {
 			f.end(f.starts[i].Attempt, EndBroken)
 		}
-		f.pass(3 * time.Second)
+		f.advance(3 * time.Second)
 		return f.starts
 	}
 	first := run()
--- a/internal/scheduler/move.go
+++ b/internal/scheduler/move.go
@@ -6,67 +6,68 @@
 	"time"
 )
 
-// When runs are moved to faster engines.
+// Conditions for moving runs to faster engines.
 const (
-	// moveGain is how many times faster the other engine must be.
-	moveGain = 1.18
-	// moveInterval is the shortest time between two moves of an item.
-	moveInterval = 1200 * time.Millisecond
-	// moveAfter is the number of events that a run makes before it is moved.
-	moveAfter = 3
-	// longAfter is the number of events after which an item counts as a long one,
-	// which a small gain is worth a new connection for.
-	longAfter = 14
-	// muchSlower is how many times slower an engine is that every run leaves.
-	muchSlower = 2
-	// moveAtOnce bounds the moves of one tick.
-	moveAtOnce = 8
+	// minLongItemSpeedup is how many times faster the other engine must be for a long item to
+	// move.
+	minLongItemSpeedup = 1.18
+	// minMoveInterval is the shortest time between two moves of an item.
+	minMoveInterval = 1200 * time.Millisecond
+	// minEventsBeforeMove is the number of events that a run produces before it may move.
+	minEventsBeforeMove = 3
+	// longItemEvents is the number of events from which an item counts as long, so that a small
+	// speedup is worth a new connection.
+	longItemEvents = 14
+	// slowEngineFactor is the slowdown from which an engine counts as slow and every run leaves
+	// it.
+	slowEngineFactor = 2
+	// maxMovesPerTick limits the moves in one tick.
+	maxMovesPerTick = 8
 )
 
-// moveToFaster moves runs from slow engines to free faster ones, once nothing of
-// their model waits. A run goes on elsewhere after its last event, which costs no
-// more than reading its text again.
+// moveToFaster moves runs from slow engines to faster ones with free slots, when no items of their
+// model wait. A run resumes after its last event, which only costs reading its text again.
 func (m *Machine) moveToFaster(now time.Time) {
 	waiting := make(map[string]bool)
-	for _, open := range m.jobs {
-		if len(open.queue) > 0 {
-			waiting[open.model] = true
+	for _, job := range m.jobs {
+		if len(job.queue) > 0 {
+			waiting[job.model] = true
 		}
 	}
-	fastest := m.fastestEngines(now)
-	promised := make(map[*engine]int)
+	fastest := m.freeEnginesByGap(now)
+	reserved := make(map[*engine]int)
 	moves := 0
 	for _, running := range m.sortedAttempts() {
-		if moves >= moveAtOnce {
+		if moves >= maxMovesPerTick {
 			return
 		}
-		if waiting[running.item.job.model] || !mayMove(now, running) || m.suspicion(running.item).Ends > 0 {
+		if waiting[running.item.job.model] || !isMovable(now, running) || m.suspicion(running.item).Ends > 0 {
 			continue
 		}
-		target := m.fasterEngine(now, running, fastest[running.item.service], promised)
+		target := m.fasterEngine(now, running, fastest[running.item.service], reserved)
 		if target == nil {
 			continue
 		}
-		promised[target]++
+		reserved[target]++
 		running.item.movedAt = now
 		m.cancel(running)
 		moves++
 	}
 }
 
-func mayMove(now time.Time, running *attempt) bool {
+func isMovable(now time.Time, running *attempt) bool {
 	owner := running.item
-	return !running.cancelled && !owner.finished && !owner.kept && owner.job.route != nil && owner.job.route.Resumable &&
-		running.events >= moveAfter && !running.engine.loading && now.Sub(owner.movedAt) >= moveInterval
+	return !running.cancelled && !owner.finished && !owner.retained && owner.job.route != nil && owner.job.route.Resumable &&
+		running.events >= minEventsBeforeMove && !running.engine.loading && now.Sub(owner.movedAt) >= minMoveInterval
 }
 
-// fastestEngines returns the engines of each service with a known pace and a free
-// slot that answer, the fastest first.
-func (m *Machine) fastestEngines(now time.Time) map[string][]*engine {
+// freeEnginesByGap returns the responsive engines of each service with a known gap and a free
+// slot, fastest first.
+func (m *Machine) freeEnginesByGap(now time.Time) map[string][]*engine {
 	fastest := make(map[string][]*engine)
-	for _, known := range m.sortedEngines() {
-		if known.gap > 0 && len(known.attempts) < known.slots && !known.isSilent(now) {
-			fastest[known.service] = append(fastest[known.service], known)
+	for _, eng := range m.sortedEngines() {
+		if eng.gap > 0 && len(eng.attempts) < eng.slots && !eng.isUnresponsive(now) {
+			fastest[eng.service] = append(fastest[eng.service], eng)
 		}
 	}
 	for _, engines := range fastest {
@@ -75,18 +76,18 @@
 	return fastest
 }
 
-// fasterEngine returns the fastest engine that is worth a move of a run, or nil. The
-// engines are in the order of their pace.
-func (m *Machine) fasterEngine(now time.Time, running *attempt, fastest []*engine, promised map[*engine]int) *engine {
-	gain := float64(muchSlower)
-	if len(running.item.text) >= longAfter {
-		gain = moveGain
+// fasterEngine returns the fastest engine that is worth moving a run to, or nil. The engines are
+// ordered by event gap.
+func (m *Machine) fasterEngine(now time.Time, running *attempt, fastest []*engine, reserved map[*engine]int) *engine {
+	minSpeedup := float64(slowEngineFactor)
+	if len(running.item.text) >= longItemEvents {
+		minSpeedup = minLongItemSpeedup
 	}
 	for _, candidate := range fastest {
-		if candidate.gap*gain > running.engine.gap {
+		if candidate.gap*minSpeedup > running.engine.gap {
 			return nil
 		}
-		if m.mayRun(now, running.item, candidate) && len(candidate.attempts)+promised[candidate] < candidate.slots {
+		if m.canRun(now, running.item, candidate) && len(candidate.attempts)+reserved[candidate] < candidate.slots {
 			return candidate
 		}
 	}
--- a/internal/scheduler/order.go
+++ b/internal/scheduler/order.go
@@ -6,15 +6,15 @@
 	"strings"
 )
 
-// Maps are read in a fixed order wherever the order shows in the output, so that
-// equal inputs give equal outputs.
+// Maps are iterated in a fixed order wherever the order affects the output, so that the machine is
+// deterministic.
 
 func (m *Machine) sortedJobs() []*job {
 	jobs := make([]*job, 0, len(m.jobs))
-	for _, open := range m.jobs {
-		jobs = append(jobs, open)
+	for _, next := range m.jobs {
+		jobs = append(jobs, next)
 	}
-	slices.SortFunc(jobs, func(a, b *job) int { return cmp.Compare(a.order, b.order) })
+	slices.SortFunc(jobs, func(a, b *job) int { return cmp.Compare(a.arrival, b.arrival) })
 	return jobs
 }
 
@@ -36,5 +36,5 @@
 	return items
 }
 
-// joinLines joins the data of events as a result's text.
+// joinLines joins the data of events into the text of a result.
 func joinLines(lines []string) string { return strings.Join(lines, "\n") }
--- a/internal/scheduler/progress.go
+++ b/internal/scheduler/progress.go
@@ -10,31 +10,31 @@
 )
 
 const (
-	// minimumSaved is the number of events below which a running item is not saved.
-	minimumSaved = 5
-	// checkpointInterval is the time between two checkpoints of an item. It is well below
-	// the time after which saved progress is trimmed.
+	// minUnsavedEvents is the number of unsaved events from which a running item is saved.
+	minUnsavedEvents = 5
+	// checkpointInterval is the time between two checkpoints of an item. It is well below the time
+	// after which saved progress is trimmed.
 	checkpointInterval = 2 * time.Second
 )
 
-// HandleRecovered takes what predecessors saved of their runs for the jobs of a
-// partition, by item. It comes before the jobs.
-func (m *Machine) HandleRecovered(now time.Time, partition int, partials map[string]*batch.Partial) {
+// HandleRecoveredProgress takes the progress that predecessors saved for the jobs of a partition,
+// by item. It must precede the jobs.
+func (m *Machine) HandleRecoveredProgress(now time.Time, partition int, partials map[string]*batch.Partial) {
 	m.recovered[partition] = partials
 	m.recoveredAt = now
 }
 
-// forgetRecovered drops what predecessors saved once the jobs that it was for are known.
-func (m *Machine) forgetRecovered(now time.Time) {
-	if len(m.recovered) > 0 && now.Sub(m.recoveredAt) > keptFor {
+// expireRecovered drops recovered progress after the jobs it belongs to have been read.
+func (m *Machine) expireRecovered(now time.Time) {
+	if len(m.recovered) > 0 && now.Sub(m.recoveredAt) > retentionPeriod {
 		clear(m.recovered)
 	}
 }
 
-// recover gives an item what a predecessor saved of it, if its versions fit.
-// Whole says that nothing of its text is missing.
-func (m *Machine) recover(opened *job, waiting *item) (whole bool) {
-	partial := m.recoveredOf(opened, waiting.source.ID)
+// applyRecovered sets an item's text from recovered progress, if its versions are acceptable. It
+// reports whether the text is complete.
+func (m *Machine) applyRecovered(opened *job, waiting *item) (complete bool) {
+	partial := m.findRecovered(opened, waiting.source.ID)
 	if partial == nil {
 		return false
 	}
@@ -42,16 +42,16 @@
 	return partial.Whole
 }
 
-// recoveredOf returns the best of what was saved of an item: what was made for the job
-// itself, else for an earlier job that had the item as well.
-func (m *Machine) recoveredOf(opened *job, itemID string) *batch.Partial {
-	if own := m.recovered[opened.partition][itemID]; own != nil && opened.mayTake(own) {
+// findRecovered returns the best recovered progress of an item: that of the job itself, or else of
+// an earlier job with the same item.
+func (m *Machine) findRecovered(opened *job, itemID string) *batch.Partial {
+	if own := m.recovered[opened.partition][itemID]; own != nil && opened.accepts(own) {
 		return own
 	}
 	var best *batch.Partial
 	for _, partition := range slices.Sorted(maps.Keys(m.recovered)) {
 		other := m.recovered[partition][itemID]
-		if other == nil || !opened.mayTake(other) {
+		if other == nil || !opened.accepts(other) {
 			continue
 		}
 		if best == nil || !best.Whole && (other.Whole || len(other.Text) > len(best.Text)) {
@@ -61,26 +61,26 @@
 	return best
 }
 
-// mayTake says whether what was saved of an item may stand in the job's results.
-func (j *job) mayTake(saved *batch.Partial) bool {
-	return saved.Tenant == j.tenant && fits(j, saved.Versions)
+// accepts reports whether recovered progress may be used in the job's results.
+func (j *job) accepts(saved *batch.Partial) bool {
+	return saved.Tenant == j.tenant && acceptsVersions(j, saved.Versions)
 }
 
-// saveAll saves the progress of the runs that have made enough.
-func (m *Machine) saveAll(now time.Time) {
-	if now.Sub(m.savedAt) < m.options.SaveInterval {
+// saveProgress saves the progress of runs with enough unsaved events.
+func (m *Machine) saveProgress(now time.Time) {
+	if now.Sub(m.progressSavedAt) < m.options.SaveInterval {
 		return
 	}
-	m.savedAt = now
+	m.progressSavedAt = now
 	for _, running := range m.sortedAttempts() {
-		if len(running.item.unsaved.text) >= minimumSaved {
+		if len(running.item.unsaved.text) >= minUnsavedEvents {
 			m.save(now, running)
 		}
 	}
 }
 
-// Resign has the machine start and order nothing any more, and saves the progress of all runs,
-// which go on.
+// Resign stops the machine from starting or ordering anything, and saves the progress of all runs,
+// which continue.
 func (m *Machine) Resign(now time.Time) {
 	m.resigned = true
 	for _, running := range m.sortedAttempts() {
@@ -88,48 +88,47 @@
 	}
 }
 
-// SaveCheckpoints saves all of the texts that were made, of open jobs and of what is kept of
-// ended ones: a successor needs nothing else, and what was saved before was perhaps not
-// appended.
+// SaveCheckpoints saves the full text of all items, of open jobs as well as retained ones. A
+// successor needs nothing else; earlier progress may not have been appended.
 func (m *Machine) SaveCheckpoints(now time.Time) {
-	for _, open := range m.sortedJobs() {
-		for _, known := range sortedItems(open) {
-			if !known.finished && len(known.text) > 0 {
-				m.saveCheckpoint(now, known, m.checkpointName(known))
+	for _, job := range m.sortedJobs() {
+		for _, unfinished := range sortedItems(job) {
+			if !unfinished.finished && len(unfinished.text) > 0 {
+				m.saveCheckpoint(now, unfinished, m.checkpointRunName(unfinished))
 			}
 		}
 	}
-	for _, name := range slices.Sorted(maps.Keys(m.kept)) {
-		m.saveKept(now, m.kept[name])
+	for _, name := range slices.Sorted(maps.Keys(m.retained)) {
+		m.saveRetained(now, m.retained[name])
 	}
 }
 
-func (m *Machine) checkpointName(known *item) string {
-	if known.attempt == nil || known.whole {
-		return m.noRunName()
+func (m *Machine) checkpointRunName(subject *item) string {
+	if subject.attempt == nil || subject.textComplete {
+		return m.detachedRunName()
 	}
-	return m.runName(known.attempt)
+	return m.runName(subject.attempt)
 }
 
-// saveKept saves the text that is kept of an item without an open job.
-func (m *Machine) saveKept(now time.Time, known *keptItem) {
-	if known.result == nil {
-		if len(known.item.text) > 0 {
-			m.saveCheckpoint(now, known.item, m.noRunName())
+// saveRetained saves the retained text of an item without an open job.
+func (m *Machine) saveRetained(now time.Time, kept *retainedItem) {
+	if kept.result == nil {
+		if len(kept.item.text) > 0 {
+			m.saveCheckpoint(now, kept.item, m.detachedRunName())
 		}
 		return
 	}
-	m.output.Progress = append(m.output.Progress, Progress{JobID: known.result.JobID, Progress: batch.Progress{
-		ItemID: known.result.ItemID, Tenant: known.tenant, Run: m.noRunName(), Checkpoint: true,
-		Text: known.result.Text, Versions: known.result.Versions, Whole: true,
+	m.output.Progress = append(m.output.Progress, Progress{JobID: kept.result.JobID, Progress: batch.Progress{
+		ItemID: kept.result.ItemID, Tenant: kept.tenant, Run: m.detachedRunName(), Checkpoint: true,
+		Text: kept.result.Text, Versions: kept.result.Versions, Whole: true,
 	}})
 }
 
-// save appends what a run made since its last progress, or all of its text when the
-// last checkpoint is old or was another run's.
+// save appends the events of a run since its last progress, or a checkpoint if the last one is old
+// or belongs to another run.
 func (m *Machine) save(now time.Time, running *attempt) {
 	owner := running.item
-	if owner.kept || owner.finished || len(owner.unsaved.text) == 0 {
+	if owner.retained || owner.finished || len(owner.unsaved.text) == 0 {
 		return
 	}
 	if now.Sub(owner.checkpointAt) >= checkpointInterval {
@@ -148,7 +147,7 @@
 	owner.unsaved = unsaved{from: owner.lastID}
 }
 
-// saveCheckpoint appends all of an item's text.
+// saveCheckpoint appends the full text of an item.
 func (m *Machine) saveCheckpoint(now time.Time, owner *item, run string) {
 	owner.checkpointAt = now
 	owner.unsaved = unsaved{from: owner.lastID}
@@ -160,17 +159,17 @@
 		LastID:     owner.lastID,
 		Text:       joinLines(owner.text),
 		Versions:   owner.versions,
-		Whole:      owner.whole,
+		Whole:      owner.textComplete,
 	}})
 }
 
-// noRunName stands for the run of a checkpoint that nothing follows on: of a whole text, or of
-// one that no run makes now.
-func (m *Machine) noRunName() string {
+// detachedRunName is the run name of a checkpoint that no later progress continues: the text is
+// complete, or no run is extending it.
+func (m *Machine) detachedRunName() string {
 	return strconv.FormatInt(m.options.Term, 36) + ".none"
 }
 
-// runName names an attempt unlike those of other machines.
+// runName returns a name of an attempt that is unique across machines.
 func (m *Machine) runName(running *attempt) string {
 	return strconv.FormatInt(m.options.Term, 36) + "." + strconv.FormatUint(uint64(running.id), 36)
 }
--- a/internal/scheduler/resign_test.go
+++ b/internal/scheduler/resign_test.go
@@ -7,12 +7,12 @@
 	"dalehook/internal/routetable"
 )
 
-// A machine whose term was given up lets its runs go on, and begins nothing.
-func TestAMachineThatResignedBeginsNothing(t *testing.T) {
+// A machine that resigned lets its runs continue, and starts nothing.
+func TestResignedMachineStartsNothing(t *testing.T) {
 	f := newFixture(t, func(route *routetable.Route) { route.Resumable = true })
 	f.machine.HandleLease(f.now, 1, true)
 	f.servers(1, map[string]int64{"a": 1, "b": 1})
-	f.job("j", 1, 30, 20, 10)
+	f.submit("j", 1, 30, 20, 10)
 	f.event(f.starts[0].Attempt, "1", 1)
 	f.machine.Resign(f.now)
 	f.take()
@@ -23,8 +23,8 @@
 	f.event(f.starts[0].Attempt, "2", 1)
 	f.end(f.starts[1].Attempt, EndBroken)
 	f.machine.HandleVersion(f.now, "m", 2)
-	f.job("k", 1, 10)
-	f.pass(2 * DefaultStallTimeout)
+	f.submit("k", 1, 10)
+	f.advance(2 * DefaultStallTimeout)
 	f.servers(4, map[string]int64{"a": 1, "b": 1, "c": 1})
 	if len(f.starts) != starts || len(f.orders) != orders || len(f.cancels) != 0 {
 		t.Errorf("starts %+v, orders %+v, cancels %+v", f.starts[starts:], f.orders[orders:], f.cancels)
@@ -35,18 +35,18 @@
 	}
 }
 
-// What is handed over is all that was made: by runs, by items that wait, and for jobs that have
-// ended.
-func TestCheckpointsHoldAllThatWasMade(t *testing.T) {
+// The checkpoints for a successor cover running items, waiting items, and retained items of ended
+// jobs.
+func TestSaveCheckpointsCoversOpenAndRetainedItems(t *testing.T) {
 	f := newFixture(t, nil)
 	f.servers(8, map[string]int64{"a": 1})
-	f.grouped("ended", 1, "g/0", "g/1", "g/2")
+	f.submitGroups("ended", 1, "g/0", "g/1", "g/2")
 	f.event(1, "1", 1)
 	f.event(2, "1", 1)
 	f.end(2, EndCompleted)
-	f.machine.HandleListed(f.now, &f.results[0])
+	f.machine.HandleResult(f.now, &f.results[0])
 	f.endJob("ended")
-	f.grouped("open", 1, "h/0", "h/1", "h/2")
+	f.submitGroups("open", 1, "h/0", "h/1", "h/2")
 	f.event(4, "7", 1)
 	f.event(5, "8", 1)
 	f.servers(8, nil)
@@ -68,10 +68,10 @@
 		}
 	}
 	successor := newFixture(t, nil)
-	successor.machine.HandleRecovered(successor.now, 0, foldProgress(t, f.progress))
+	successor.machine.HandleRecoveredProgress(successor.now, 0, foldProgress(t, f.progress))
 	successor.servers(8, map[string]int64{"a": 1})
-	successor.grouped("open", 1, "h/0", "h/1", "h/2")
-	successor.grouped("next", 1, "g/0", "g/1", "g/2")
+	successor.submitGroups("open", 1, "h/0", "h/1", "h/2")
+	successor.submitGroups("next", 1, "g/0", "g/1", "g/2")
 	if len(successor.results) != 1 || successor.results[0].ItemID != "g/1" {
 		t.Errorf("results %+v", successor.results)
 	}
--- a/internal/scheduler/rewards.go
+++ b/internal/scheduler/rewards.go
@@ -8,45 +8,45 @@
 	"dalehook/internal/reward"
 )
 
-// complete takes an item whose text is whole: it is listed once it has its score, at
-// once when it needs none.
-func (m *Machine) complete(now time.Time, owner *item) {
+// completeText handles an item whose text is complete. Its result is recorded when it has its
+// score, or at once if it needs none.
+func (m *Machine) completeText(now time.Time, owner *item) {
 	if owner.source.Reward == nil {
-		m.finishScored(owner, "")
+		m.recordCompleted(owner, "")
 		return
 	}
-	owner.whole = true
-	m.saveCheckpoint(now, owner, m.noRunName())
-	m.rewards.Add(now, owner.name(), owner.source.Reward, owner.job.partition, owner.job.giveUpAt)
+	owner.textComplete = true
+	m.saveCheckpoint(now, owner, m.detachedRunName())
+	m.rewards.Add(now, owner.rewardItem(), owner.source.Reward, owner.job.partition, owner.job.giveUpAt)
 }
 
-// name returns what the item's reward call goes by.
-func (i *item) name() reward.Item {
+// rewardItem returns the key of the item's reward call.
+func (i *item) rewardItem() reward.Item {
 	return reward.Item{Tenant: i.job.tenant, JobID: i.job.id, ItemID: i.source.ID}
 }
 
-// saveWholeTexts saves the texts that have waited long for their score once more, so
-// that a successor makes the reward call and not the text.
-func (m *Machine) saveWholeTexts(now time.Time) {
+// saveUnscoredTexts saves texts that have waited long for their score again, so that a successor
+// only has to repeat the reward call.
+func (m *Machine) saveUnscoredTexts(now time.Time) {
 	if m.rewards.Len() == 0 {
 		return
 	}
 	var due []*item
-	for _, open := range m.jobs {
-		for _, unscored := range open.items {
-			waits := unscored.whole && !unscored.finished
-			if waits && now.Sub(unscored.checkpointAt) >= checkpointInterval {
+	for _, job := range m.jobs {
+		for _, unscored := range job.items {
+			pending := unscored.textComplete && !unscored.finished
+			if pending && now.Sub(unscored.checkpointAt) >= checkpointInterval {
 				due = append(due, unscored)
 			}
 		}
 	}
 	slices.SortFunc(due, func(a, b *item) int { return cmp.Compare(a.source.ID, b.source.ID) })
 	for _, unscored := range due {
-		m.saveCheckpoint(now, unscored, m.noRunName())
+		m.saveCheckpoint(now, unscored, m.detachedRunName())
 	}
 }
 
-// sendRewards sends the reward calls that there is room for.
+// sendRewards sends the reward calls that there is capacity for.
 func (m *Machine) sendRewards(now time.Time) {
 	if m.resigned {
 		return
@@ -55,38 +55,38 @@
 	m.output.Rewards = append(m.output.Rewards, sends...)
 }
 
-// withdrawReward forgets the reward call of an item.
+// withdrawReward removes the reward call of an item.
 func (m *Machine) withdrawReward(owner *item) {
-	if !owner.whole {
+	if !owner.textComplete {
 		return
 	}
-	if send := m.rewards.Remove(owner.name()); send != 0 {
+	if send := m.rewards.Remove(owner.rewardItem()); send != 0 {
 		m.output.WithdrawnRewards = append(m.output.WithdrawnRewards, send)
 	}
 }
 
-// HandleReward takes what a send of a reward call came to.
+// HandleReward processes the outcome of a sent reward call.
 func (m *Machine) HandleReward(now time.Time, id reward.SendID, answer reward.Answer) reward.Verdict {
 	name, verdict := m.rewards.HandleAnswer(now, id, answer)
-	if owner := m.unscored(name); owner != nil {
+	if owner := m.unscoredItem(name); owner != nil {
 		switch verdict {
 		case reward.VerdictScored:
-			m.finishScored(owner, answer.Score)
+			m.recordCompleted(owner, answer.Score)
 		case reward.VerdictDead:
-			m.finishDead(owner)
+			m.recordDead(owner)
 		}
 	}
 	m.sendRewards(now)
 	return verdict
 }
 
-// unscored returns an item that waits for its score, or nil.
-func (m *Machine) unscored(name reward.Item) *item {
-	open := m.jobs[name.JobID]
-	if open == nil {
+// unscoredItem returns an item that waits for its score, or nil.
+func (m *Machine) unscoredItem(name reward.Item) *item {
+	job := m.jobs[name.JobID]
+	if job == nil {
 		return nil
 	}
-	owner := open.items[name.ItemID]
+	owner := job.items[name.ItemID]
 	if owner == nil || owner.finished {
 		return nil
 	}
--- a/internal/scheduler/rewards_test.go
+++ b/internal/scheduler/rewards_test.go
@@ -22,12 +22,12 @@
 
 func newRewardFixture(t *testing.T) *rewardFixture {
 	f := &rewardFixture{fixture: newFixture(t, nil)}
-	f.table()
+	f.setRoutes()
 	f.servers()
 	return f
 }
 
-func (f *rewardFixture) table() {
+func (f *rewardFixture) setRoutes() {
 	routes := []routetable.Route{
 		{Name: "r", Host: "h", Prefix: "/p/", Kind: routetable.KindBatch, MaxAttempts: 3, ItemLifetime: 40 * time.Second,
 			Targets: []routetable.Target{{Service: "pool", Weight: 1}}},
@@ -47,7 +47,7 @@
 }
 
 func (f *rewardFixture) take() {
-	output := f.machine.Take()
+	output := f.machine.TakeOutput()
 	f.starts = append(f.starts, output.Starts...)
 	f.results = append(f.results, output.Results...)
 	f.progress = append(f.progress, output.Progress...)
@@ -55,8 +55,8 @@
 	f.withdrawn = append(f.withdrawn, output.WithdrawnRewards...)
 }
 
-// job hands in a job; its calls are named after calls.
-func (f *rewardFixture) job(id string, items int, calls string) {
+// submit submits a job whose reward call IDs start with the prefix calls.
+func (f *rewardFixture) submit(id string, items int, calls string) {
 	job := &batch.Job{ID: id, Host: "h", Path: "/p/" + id, Model: "m", MinVersion: 1}
 	for i := range items {
 		name := fmt.Sprint("item-", i)
@@ -68,7 +68,7 @@
 	f.take()
 }
 
-func (f *rewardFixture) run(attempt AttemptID) {
+func (f *rewardFixture) completeAttempt(attempt AttemptID) {
 	f.machine.HandleEvent(f.now, attempt, Event{ID: "1", Data: "one", Version: 1})
 	f.machine.HandleEvent(f.now, attempt, Event{ID: "2", Data: "two", Version: 1})
 	f.machine.HandleAttemptEnd(f.now, attempt, EndCompleted)
@@ -80,13 +80,13 @@
 	f.take()
 }
 
-func TestAResultWaitsForItsScore(t *testing.T) {
+func TestResultWaitsForItsScore(t *testing.T) {
 	f := newRewardFixture(t)
-	f.job("j", 1, "")
+	f.submit("j", 1, "")
 	f.machine.HandleEvent(f.now, 1, Event{ID: "1", Data: "one", Version: 1})
 	f.take()
 	if len(f.rewards) != 0 {
-		t.Fatal("a reward call before the last event")
+		t.Fatal("reward call sent before the last event")
 	}
 	f.machine.HandleAttemptEnd(f.now, 1, EndCompleted)
 	f.take()
@@ -104,21 +104,21 @@
 	}
 }
 
-func TestARunThatBrokeGetsNoRewardCall(t *testing.T) {
+func TestBrokenRunGetsNoRewardCall(t *testing.T) {
 	f := newRewardFixture(t)
-	f.job("j", 1, "")
+	f.submit("j", 1, "")
 	f.machine.HandleEvent(f.now, 1, Event{ID: "1", Data: "one", Version: 1})
 	f.machine.HandleAttemptEnd(f.now, 1, EndBroken)
-	f.pass(time.Second)
+	f.advance(time.Second)
 	if len(f.rewards) != 0 {
 		t.Errorf("rewards %+v", f.rewards)
 	}
 }
 
-func TestAnItemIsDeadOnceItsRewardCallFailedOftenEnough(t *testing.T) {
+func TestItemIsDeadAfterMaxRewardFailures(t *testing.T) {
 	f := newRewardFixture(t)
-	f.job("j", 1, "")
-	f.run(1)
+	f.submit("j", 1, "")
+	f.completeAttempt(1)
 	f.answer(0, reward.Answer{Failures: 2})
 	want := []batch.Result{{JobID: "j", ItemID: "item-0", Outcome: batch.OutcomeDead}}
 	if diff := cmp.Diff(want, f.results); diff != "" {
@@ -126,12 +126,12 @@
 	}
 }
 
-// What stands in the store of a whole text suffices for a successor to make the reward
-// call without running the item, also where what was saved before is gone.
-func TestASuccessorMakesTheRewardCallWithoutRunningTheItem(t *testing.T) {
+// The last checkpoint of a complete text is enough for a successor to make the reward call without
+// running the item, even if earlier progress has been trimmed.
+func TestSuccessorMakesRewardCallWithoutRerunningItem(t *testing.T) {
 	f := newRewardFixture(t)
-	f.job("j", 1, "")
-	f.run(1)
+	f.submit("j", 1, "")
+	f.completeAttempt(1)
 	fold := batch.NewProgressFold()
 	last := f.progress[len(f.progress)-1]
 	record, err := batch.EncodeProgress(&last.Progress)
@@ -142,8 +142,8 @@
 		t.Fatal(err)
 	}
 	successor := newRewardFixture(t)
-	successor.machine.HandleRecovered(successor.now, 0, fold.Partials())
-	successor.job("j", 1, "")
+	successor.machine.HandleRecoveredProgress(successor.now, 0, fold.Partials())
+	successor.submit("j", 1, "")
 	if len(successor.starts) != 0 || len(successor.rewards) != 1 || len(successor.results) != 0 {
 		t.Fatalf("starts %+v, rewards %+v", successor.starts, successor.rewards)
 	}
@@ -154,10 +154,10 @@
 	}
 }
 
-func TestAWholeTextThatWaitsIsSavedAgainBeforeItIsTrimmed(t *testing.T) {
+func TestUnscoredTextIsSavedAgainBeforeTrimming(t *testing.T) {
 	f := newRewardFixture(t)
-	f.job("j", 1, "")
-	f.run(1)
+	f.submit("j", 1, "")
+	f.completeAttempt(1)
 	saved := len(f.progress)
 	f.now = f.now.Add(checkpointInterval)
 	f.machine.Tick(f.now)
@@ -167,34 +167,34 @@
 	}
 }
 
-func TestNoRewardCallAfterTheEndOfTheJob(t *testing.T) {
+func TestNoRewardCallAfterJobEnd(t *testing.T) {
 	f := newRewardFixture(t)
-	f.job("j", 4, "")
+	f.submit("j", 4, "")
 	for attempt := range AttemptID(4) {
-		f.run(attempt + 1)
+		f.completeAttempt(attempt + 1)
 	}
 	if len(f.rewards) != 3 {
-		t.Fatalf("%d reward calls at a service that takes 3", len(f.rewards))
+		t.Fatalf("%d reward calls sent to a service with capacity for 3", len(f.rewards))
 	}
-	f.machine.HandleEnded(f.now, "j")
+	f.machine.HandleJobEnd(f.now, "j")
 	f.take()
 	if len(f.withdrawn) != 3 {
 		t.Errorf("withdrawn %v", f.withdrawn)
 	}
 	f.answer(0, reward.Answer{})
-	f.pass(time.Second)
+	f.advance(time.Second)
 	if len(f.rewards) != 3 || len(f.results) != 0 {
 		t.Errorf("%d reward calls, results %+v", len(f.rewards), f.results)
 	}
 }
 
-// A group that was not whole comes again: its whole texts are not run again, and a
-// score counts only for the call that it was the answer to.
-func TestAnItemThatComesAgainNeedsTheScoreOfItsOwnCall(t *testing.T) {
+// When an incomplete group is resubmitted, its complete texts are not generated again, and a score
+// is reused only for the same reward call.
+func TestResubmittedItemReusesScoreOnlyForTheSameCall(t *testing.T) {
 	cases := []struct {
 		name  string
 		calls string
-		// scored says that the first job listed the score.
+		// scored is set if the first job recorded the score.
 		scored  bool
 		rewards int
 	}{
@@ -204,18 +204,18 @@
 	}
 	for _, c := range cases {
 		f := newRewardFixture(t)
-		f.job("first", 2, "")
-		f.run(1)
+		f.submit("first", 2, "")
+		f.completeAttempt(1)
 		if c.scored {
 			f.answer(0, reward.Answer{Score: "good"})
-			f.machine.HandleListed(f.now, &f.results[0])
+			f.machine.HandleResult(f.now, &f.results[0])
 		}
-		f.machine.HandleEnded(f.now, "first")
+		f.machine.HandleJobEnd(f.now, "first")
 		f.take()
 		starts, rewards := len(f.starts), len(f.rewards)
-		f.job("second", 1, c.calls)
+		f.submit("second", 1, c.calls)
 		if len(f.starts) != starts {
-			t.Errorf("%s: the item is run again", c.name)
+			t.Errorf("%s: the item was run again", c.name)
 		}
 		if got := len(f.rewards) - rewards; got != c.rewards {
 			t.Errorf("%s: %d reward calls", c.name, got)
@@ -232,10 +232,10 @@
 	}
 }
 
-func TestAnItemWhoseTimeIsOverIsGivenUpWithItsCall(t *testing.T) {
+func TestExpiredItemWithdrawsItsRewardCall(t *testing.T) {
 	f := newRewardFixture(t)
-	f.job("j", 1, "")
-	f.run(1)
+	f.submit("j", 1, "")
+	f.completeAttempt(1)
 	f.now = f.now.Add(41 * time.Second)
 	f.machine.Tick(f.now)
 	f.take()
@@ -248,12 +248,12 @@
 	}
 }
 
-// A coordinator that was paused knows nothing of what ended meanwhile.
-func TestACoordinatorThatWokeSendsNoRewardCallBeforeItHasRead(t *testing.T) {
+// A coordinator that was paused does not know which jobs have ended meanwhile.
+func TestNoRewardCallOnStalePartition(t *testing.T) {
 	f := newRewardFixture(t)
-	f.job("j", 4, "")
+	f.submit("j", 4, "")
 	for attempt := range AttemptID(4) {
-		f.run(attempt + 1)
+		f.completeAttempt(attempt + 1)
 	}
 	sent := len(f.rewards)
 	f.now = f.now.Add(5 * time.Second)
@@ -262,30 +262,30 @@
 	f.machine.Tick(f.now)
 	f.take()
 	if len(f.rewards) != sent {
-		t.Errorf("%d calls sent on old knowledge", len(f.rewards)-sent)
+		t.Errorf("%d calls sent on stale job data", len(f.rewards)-sent)
 	}
-	f.machine.HandleFresh(f.now, 0, f.now)
+	f.machine.HandlePartitionRead(f.now, 0, f.now)
 	f.take()
 	if len(f.rewards) == sent {
-		t.Error("no call sent once the job was read again")
+		t.Error("no call sent after the partition was read again")
 	}
 }
 
-// A score whose listing was lost with its coordinator is asked for once more.
-func TestACoordinatorGoneBetweenScoreAndListing(t *testing.T) {
+// A score is requested again if the coordinator was lost before its result was appended.
+func TestScoreIsRequestedAgainWhenItsResultWasLost(t *testing.T) {
 	f := newRewardFixture(t)
-	f.job("j", 1, "")
-	f.run(1)
+	f.submit("j", 1, "")
+	f.completeAttempt(1)
 	saved := f.progress[len(f.progress)-1].Progress
 	f.answer(0, reward.Answer{Score: "lost"})
 	if len(f.results) != 1 {
 		t.Fatalf("results %+v", f.results)
 	}
 	successor := newRewardFixture(t)
-	successor.machine.HandleRecovered(successor.now, 0, map[string]*batch.Partial{
+	successor.machine.HandleRecoveredProgress(successor.now, 0, map[string]*batch.Partial{
 		"item-0": {LastID: saved.LastID, Text: []string{saved.Text}, Versions: saved.Versions, Whole: saved.Whole},
 	})
-	successor.job("j", 1, "")
+	successor.submit("j", 1, "")
 	successor.answer(0, reward.Answer{Score: "again"})
 	if len(successor.starts) != 0 || len(successor.results) != 1 || successor.results[0].Score != "again" {
 		t.Errorf("starts %+v, results %+v", successor.starts, successor.results)
--- a/internal/scheduler/summary.go
+++ b/internal/scheduler/summary.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// EngineSummary is an engine as the machine sees it.
+// EngineSummary is the state of an engine.
 type EngineSummary struct {
 	ID       string
 	Model    string
@@ -15,37 +15,37 @@
 	Gap int
 }
 
-// JobSummary is an open job as the machine sees it.
+// JobSummary is the state of an open job.
 type JobSummary struct {
-	ID      string
-	Model   string
-	Minimum int64
-	Newest  int64
-	Waiting int
-	Running int
-	Left    int
-	Total   int
+	ID         string
+	Model      string
+	Minimum    int64
+	Newest     int64
+	Waiting    int
+	Running    int
+	Unfinished int
+	Total      int
 }
 
-// Summary tells what the machine sees, for logs.
+// Summary returns the state of all engines and jobs, for logs.
 func (m *Machine) Summary(now time.Time) (engines []EngineSummary, jobs []JobSummary) {
-	for _, known := range m.sortedEngines() {
+	for _, eng := range m.sortedEngines() {
 		engines = append(engines, EngineSummary{
-			ID: known.server.ID, Model: known.model, Version: known.versions[known.model],
-			Attempts: len(known.attempts), Slots: known.slots, Loading: known.loading,
-			Paused: now.Before(known.pausedUntil), Gap: int(known.gap * 1000),
+			ID: eng.server.ID, Model: eng.model, Version: eng.versions[eng.model],
+			Attempts: len(eng.attempts), Slots: eng.slots, Loading: eng.loading,
+			Paused: now.Before(eng.pausedUntil), Gap: int(eng.gap * 1000),
 		})
 	}
-	for _, open := range m.sortedJobs() {
+	for _, job := range m.sortedJobs() {
 		running := 0
-		for _, waiting := range open.items {
+		for _, waiting := range job.items {
 			if waiting.attempt != nil {
 				running++
 			}
 		}
 		jobs = append(jobs, JobSummary{
-			ID: open.id, Model: open.model, Minimum: open.minimum, Newest: m.newest[open.model],
-			Waiting: len(open.queue), Running: running, Left: len(open.items), Total: len(open.sources),
+			ID: job.id, Model: job.model, Minimum: job.minimum, Newest: m.newestVersions[job.model],
+			Waiting: len(job.queue), Running: running, Unfinished: len(job.items), Total: len(job.sources),
 		})
 	}
 	return engines, jobs
--- a/internal/scheduler/suspicions.go
+++ b/internal/scheduler/suspicions.go
@@ -8,63 +8,63 @@
 	"dalehook/internal/quarantine"
 )
 
-// apartFrom is the number of engines that ended under an item from which on it runs beside no other
-// such item, and once at a time. Each engine that crashes implicates all of its items once, also
-// samples of one prompt that look alike; what is implicated twice is rare, and is to be told apart.
-const apartFrom = 2
+// isolationThreshold is the number of crashed engines from which an item is isolated: it runs on
+// no engine together with another such item, and only once at a time. Each crash implicates all
+// items of the engine once, including identical samples of one prompt. Items implicated twice are
+// rare, and have to be told apart.
+const isolationThreshold = 2
 
-// Fingerprint tells an item from others, but not from the same one in another job.
+// Fingerprint identifies an item by its request. It is the same for equal items of different jobs.
 func Fingerprint(tenant, host string, source *batch.Item) quarantine.Fingerprint {
 	return quarantine.FingerprintOf(quarantine.Identity{
 		Caller: tenant, Method: http.MethodPost, Host: host, Target: source.Path, Body: source.Body,
 	})
 }
 
-// HandleSuspicions takes what is known against the items that engines ended under.
+// HandleSuspicions updates the items that engines crashed under.
 func (m *Machine) HandleSuspicions(now time.Time, suspicions map[quarantine.Fingerprint]quarantine.Suspicion) {
 	m.suspicions = suspicions
-	for _, open := range m.sortedJobs() {
-		m.divideHeld(open)
+	for _, job := range m.sortedJobs() {
+		m.separateHeld(job)
 	}
 	m.schedule(now)
 }
 
-// divideHeld has the items of a job wait that are held no more, and takes those that are held now
-// from the queue.
-func (m *Machine) divideHeld(open *job) {
-	waiting := append(open.held, open.queue...)
-	open.held, open.queue = nil, nil
+// separateHeld moves held items of a job out of the queue, and released ones back into it.
+func (m *Machine) separateHeld(owner *job) {
+	waiting := append(owner.held, owner.queue...)
+	owner.held, owner.queue = nil, nil
 	for _, next := range waiting {
 		if m.suspicion(next).Held {
-			open.held = append(open.held, next)
+			owner.held = append(owner.held, next)
 			continue
 		}
-		open.queue = append(open.queue, next)
+		owner.queue = append(owner.queue, next)
 	}
 }
 
 // suspicion returns what is known against an item.
-func (m *Machine) suspicion(known *item) quarantine.Suspicion {
+func (m *Machine) suspicion(subject *item) quarantine.Suspicion {
 	if len(m.suspicions) == 0 {
 		return quarantine.Suspicion{}
 	}
-	if known.fingerprint == (quarantine.Fingerprint{}) {
-		known.fingerprint = Fingerprint(known.job.tenant, known.job.host, known.source)
+	if subject.fingerprint == (quarantine.Fingerprint{}) {
+		subject.fingerprint = Fingerprint(subject.job.tenant, subject.job.host, subject.source)
 	}
-	return m.suspicions[known.fingerprint]
+	return m.suspicions[subject.fingerprint]
 }
 
-// mayRunNow says whether an item may run anywhere: the same one runs once at a time, and none
-// whose next end would have it held while an end is not settled.
-func (m *Machine) mayRunNow(next *item, known quarantine.Suspicion) bool {
-	return known.Ends < apartFrom || !known.Settling && !known.Held && !m.runsElsewhere(next)
+// allowedBySuspicion reports whether an isolated item may run at all: not while the same item is
+// running, while it is held, or while a crash that may get it held is being settled.
+func (m *Machine) allowedBySuspicion(next *item, suspicion quarantine.Suspicion) bool {
+	return suspicion.Ends < isolationThreshold || !suspicion.Settling && !suspicion.Held && !m.duplicateRuns(next)
 }
 
-// runsElsewhere says whether the same item runs already: for another job, or as another sample.
-func (m *Machine) runsElsewhere(next *item) bool {
+// duplicateRuns reports whether the same item already runs, for another job or as another sample.
+func (m *Machine) duplicateRuns(next *item) bool {
 	for _, running := range m.attempts {
 		other := running.item
-		// Paths differ nearly always, and cost nothing to compare.
+		// Comparing paths first is cheap, and they differ nearly always.
 		if other != next && other.source.Path == next.source.Path && m.suspicion(other).Ends > 0 && other.fingerprint == next.fingerprint {
 			return true
 		}
@@ -72,24 +72,25 @@
 	return false
 }
 
-// runsSuspect says whether an engine runs an item that may end it, so that another one would be
-// implicated as well.
+// runsSuspect reports whether an engine runs an isolated item, so that a crash would implicate a
+// second one.
 func (m *Machine) runsSuspect(candidate *engine) bool {
 	for _, running := range candidate.attempts {
-		if m.suspicion(running.item).Ends >= apartFrom {
+		if m.suspicion(running.item).Ends >= isolationThreshold {
 			return true
 		}
 	}
 	return false
 }
 
-// suspectPenalty is added to the cost of an engine for each run there, for an item that engines
-// ended under more than once: little else is to be lost with the next. It is above what paces differ by.
+// suspectPenalty is added to the cost of an engine for each of its runs when an isolated item is
+// placed, so that a crash affects few other items. It exceeds the cost differences between engine
+// speeds.
 const suspectPenalty = 1
 
-// suspectCost rates an engine by what would be lost with it.
-func suspectCost(known quarantine.Suspicion, candidate *engine) float64 {
-	if known.Ends < apartFrom {
+// suspectCost rates an engine by the number of runs that a crash would affect.
+func suspectCost(suspicion quarantine.Suspicion, candidate *engine) float64 {
+	if suspicion.Ends < isolationThreshold {
 		return 0
 	}
 	return suspectPenalty * float64(len(candidate.attempts))
--- a/internal/scheduler/suspicions_test.go
+++ b/internal/scheduler/suspicions_test.go
@@ -8,8 +8,8 @@
 	"dalehook/internal/quarantine"
 )
 
-// bodies submits a job with one item for each body; the group of each is its own.
-func (f *fixture) bodies(id string, bodies ...string) {
+// submitBodies submits a job with one item per body, each in a group of its own.
+func (f *fixture) submitBodies(id string, bodies ...string) {
 	job := &batch.Job{ID: id, Host: "h", Path: "/p/" + id, Model: "m"}
 	for _, body := range bodies {
 		job.Items = append(job.Items, batch.Item{ID: id + "-" + body, Path: "/p/x", Body: []byte(body), Expected: 10, Group: body})
@@ -18,16 +18,16 @@
 	f.take()
 }
 
-func (f *fixture) suspect(suspicions map[string]quarantine.Suspicion) {
+func (f *fixture) setSuspicions(suspicions map[string]quarantine.Suspicion) {
 	byFingerprint := make(map[quarantine.Fingerprint]quarantine.Suspicion)
-	for body, known := range suspicions {
-		byFingerprint[Fingerprint("", "h", &batch.Item{Path: "/p/x", Body: []byte(body)})] = known
+	for body, suspicion := range suspicions {
+		byFingerprint[Fingerprint("", "h", &batch.Item{Path: "/p/x", Body: []byte(body)})] = suspicion
 	}
 	f.machine.HandleSuspicions(f.now, byFingerprint)
 	f.take()
 }
 
-func (f *fixture) running() map[string]string {
+func (f *fixture) enginesByRunningItem() map[string]string {
 	at := make(map[string]string)
 	for _, running := range f.machine.attempts {
 		at[running.item.source.ID] = running.engine.server.ID
@@ -35,17 +35,17 @@
 	return at
 }
 
-func TestAHeldItemKeepsNothingWaiting(t *testing.T) {
+func TestHeldItemDoesNotBlockQueue(t *testing.T) {
 	f := newFixture(t, nil)
-	f.suspect(map[string]quarantine.Suspicion{"deadly": {Ends: 3, Held: true, Proved: true}})
+	f.setSuspicions(map[string]quarantine.Suspicion{"deadly": {Ends: 3, Held: true, Proved: true}})
 	f.servers(1, map[string]int64{"a": 1})
-	f.bodies("j", "deadly", "harmless")
-	if at := f.running(); len(at) != 1 || at["j-harmless"] != "a" {
+	f.submitBodies("j", "deadly", "harmless")
+	if at := f.enginesByRunningItem(); len(at) != 1 || at["j-harmless"] != "a" {
 		t.Errorf("running: %v", at)
 	}
 	f.end(f.starts[0].Attempt, EndCompleted)
 	for range 50 {
-		f.pass(time.Second)
+		f.advance(time.Second)
 	}
 	if len(f.starts) != 1 {
 		t.Errorf("%d items started", len(f.starts))
@@ -57,45 +57,45 @@
 		}
 	}
 	if dead != 1 {
-		t.Errorf("listed as dead %d times", dead)
+		t.Errorf("recorded as dead %d times", dead)
 	}
-	f.suspect(nil)
-	f.bodies("k", "deadly")
-	if at := f.running(); at["k-deadly"] != "a" {
-		t.Errorf("once it is released: running %v", at)
+	f.setSuspicions(nil)
+	f.submitBodies("k", "deadly")
+	if at := f.enginesByRunningItem(); at["k-deadly"] != "a" {
+		t.Errorf("after the release: running %v", at)
 	}
 }
 
-func TestSuspectsRunApartAndOnceAtATime(t *testing.T) {
+func TestSuspectsAreIsolatedAndRunOnceAtATime(t *testing.T) {
 	f := newFixture(t, nil)
 	twice := quarantine.Suspicion{Ends: 2}
-	f.suspect(map[string]quarantine.Suspicion{"s1": twice, "s2": twice, "s3": {Ends: 2, Settling: true}, "once": {Ends: 1}})
+	f.setSuspicions(map[string]quarantine.Suspicion{"s1": twice, "s2": twice, "s3": {Ends: 2, Settling: true}, "once": {Ends: 1}})
 	f.servers(4, map[string]int64{"a": 1, "b": 1})
-	f.bodies("j", "s1", "s2", "s3", "once", "harmless")
-	at := f.running()
+	f.submitBodies("j", "s1", "s2", "s3", "once", "harmless")
+	at := f.enginesByRunningItem()
 	if len(at) != 4 || at["j-s1"] == at["j-s2"] || at["j-s3"] != "" {
 		t.Errorf("running: %v", at)
 	}
-	f.bodies("k", "s1")
-	if at := f.running(); at["k-s1"] != "" {
-		t.Errorf("the same item runs twice: %v", at)
+	f.submitBodies("k", "s1")
+	if at := f.enginesByRunningItem(); at["k-s1"] != "" {
+		t.Errorf("the same item runs twice at once: %v", at)
 	}
-	f.suspect(map[string]quarantine.Suspicion{"s1": twice})
-	if at := f.running(); at["j-s3"] == "" || at["k-s1"] != "" {
-		t.Errorf("once the others are cleared: %v", at)
+	f.setSuspicions(map[string]quarantine.Suspicion{"s1": twice})
+	if at := f.enginesByRunningItem(); at["j-s3"] == "" || at["k-s1"] != "" {
+		t.Errorf("after the others were cleared: %v", at)
 	}
 }
 
-// Samples of one prompt may look alike. An engine's crash, which implicates all that it ran, must
-// not have them run one after the other.
-func TestSamplesThatLookAlikeRunTogetherAfterOneCrash(t *testing.T) {
+// Samples of one prompt may be identical. One crash implicates all items of the engine, but must
+// not serialize these samples.
+func TestIdenticalSamplesRunConcurrentlyAfterOneCrash(t *testing.T) {
 	f := newFixture(t, nil)
-	f.suspect(map[string]quarantine.Suspicion{"prompt": {Ends: 1}})
+	f.setSuspicions(map[string]quarantine.Suspicion{"prompt": {Ends: 1}})
 	f.servers(4, map[string]int64{"a": 1, "b": 1})
 	for _, id := range []string{"j", "k", "l"} {
-		f.bodies(id, "prompt")
+		f.submitBodies(id, "prompt")
 	}
-	if at := f.running(); len(at) != 3 {
+	if at := f.enginesByRunningItem(); len(at) != 3 {
 		t.Errorf("running: %v", at)
 	}
 }
--- a/internal/scheduler/types.go
+++ b/internal/scheduler/types.go
@@ -1,6 +1,6 @@
-// Package scheduler decides where and when the items of batch jobs run and when
-// engines load weights. It is a state machine without I/O: inputs are methods
-// with the time, outputs are collected and taken by the driver.
+// Package scheduler decides where and when the items of batch jobs run and when engines load
+// weights. It is a state machine without I/O: inputs are method calls with the current time, and
+// outputs are collected for the driver.
 package scheduler
 
 import (
@@ -14,7 +14,7 @@
 	"dalehook/internal/slowstart"
 )
 
-// AttemptID names one run of an item at one server.
+// AttemptID identifies one run of an item at one server.
 type AttemptID uint64
 
 // Start asks the driver to run an item at a server.
@@ -22,38 +22,38 @@
 	Attempt AttemptID
 	JobID   string
 	Host    string
-	// Tenant is on whose behalf the item runs; empty for nobody's.
+	// Tenant is the tenant that the item runs for, or empty.
 	Tenant string
 	Item   *batch.Item
 	Server Server
-	// After is the id of the last event that is kept from earlier attempts; empty
-	// when the item starts anew.
+	// After is the ID of the last event kept from earlier attempts, or empty if the item starts
+	// over.
 	After string
-	// ExpectVersion, when above 0, is the only weight version that may serve.
+	// ExpectVersion, if above 0, is the only weight version that may serve the item.
 	ExpectVersion int64
 	// Deadline is when the item may be given up.
 	Deadline time.Time
 	Inputs   Inputs
 }
 
-// Inputs are what the choice of an engine went by, for logs.
+// Inputs are the values that the choice of the engine was based on, for logs.
 type Inputs struct {
 	// Term is the epoch of the lease.
 	Term int64
-	// Version is the weight version that the engine was taken to have.
+	// Version is the last known weight version of the engine.
 	Version int64
-	// Attempts is the number of items that ran there.
+	// Attempts is the number of other items running on the engine.
 	Attempts int
-	// Gap is the engine's time between events; 0 when unknown.
+	// Gap is the engine's time between events, or 0 if unknown.
 	Gap time.Duration
-	// ReadAge is the age of what was known of the job.
+	// ReadAge is the time since the job's partition was last read.
 	ReadAge time.Duration
 }
 
 // Server is the address of one incarnation of an engine.
 type Server struct {
 	ID string
-	// Born is when this life of it began, in Unix milliseconds; 0 where it does not tell.
+	// Born is the start time of this incarnation in Unix milliseconds, or 0 if not reported.
 	Born    int64
 	Address string
 	Service string
@@ -63,71 +63,71 @@
 	return directory.Incarnation{ID: s.ID, Born: s.Born}
 }
 
-// Cancel asks the driver to end an attempt. The driver still reports its end.
+// Cancel asks the driver to cancel an attempt. The driver still reports its end.
 type Cancel struct {
 	Attempt AttemptID
 }
 
-// LoadMode says what happens to running requests while weights are loaded.
+// LoadMode selects what happens to running requests during a load.
 type LoadMode int
 
-// The modes of a load.
+// Load modes.
 const (
 	// LoadWait lets running requests finish first.
 	LoadWait LoadMode = iota
-	// LoadKeep lets running requests go on under the new version.
+	// LoadKeep lets running requests continue under the new version.
 	LoadKeep
 )
 
-// Order asks the driver to have a server load a weight version.
-type Order struct {
+// LoadOrder asks the driver to have a server load a weight version.
+type LoadOrder struct {
 	Server  Server
 	Model   string
 	Version int64
 	Mode    LoadMode
-	// Epoch is the lease's epoch, which fences the order.
+	// Epoch is the epoch of the lease, which fences the order.
 	Epoch int64
 }
 
-// Output is what the driver carries out, in this order.
+// Output holds the actions for the driver, to be carried out in this order.
 type Output struct {
 	Cancels []Cancel
 	Starts  []Start
-	Orders  []Order
+	Orders  []LoadOrder
 	// Results are to be appended to the store.
 	Results []batch.Result
 	// Progress is to be appended to the store, in this order.
 	Progress []Progress
-	// WithdrawnRewards are sends whose answers are of no more use.
+	// WithdrawnRewards are sent reward calls whose answers are no longer needed.
 	WithdrawnRewards []reward.SendID
 	// Rewards are reward calls to send.
 	Rewards []reward.Send
 }
 
-// Progress is what a run has made, with the job that it belongs to.
+// Progress is the progress of a run, with its job.
 type Progress struct {
 	JobID string
 	batch.Progress
 }
 
-// EndReason says how an attempt ended.
+// EndReason is the reason for the end of an attempt.
 type EndReason int
 
-// The ways in which an attempt ends.
+// Reasons for the end of an attempt.
 const (
-	// EndCompleted: the stream came to its end.
+	// EndCompleted: the stream ended normally.
 	EndCompleted EndReason = iota
 	// EndNotExecuted: the server did not run the item.
 	EndNotExecuted
 	// EndFailed: the server answered that the run failed.
 	EndFailed
-	// EndImpossible: the server answered that the item can never be run.
+	// EndImpossible: the server answered that the item can never run.
 	EndImpossible
-	// EndBroken: the connection broke, or the answer was not one.
+	// EndBroken: the connection broke, or the response was invalid.
 	EndBroken
 	// EndCancelled: the driver carried out a Cancel.
 	EndCancelled
-	// EndUnreached: there was no connection, and nothing was sent.
+	// EndUnreached: no connection was made, and nothing was sent.
 	EndUnreached
 )
 
@@ -140,37 +140,36 @@
 type Event struct {
 	ID   string
 	Data string
-	// Version is the weight version that made the event.
+	// Version is the weight version that generated the event.
 	Version int64
 }
 
-// Load is what an order came to.
-type Load struct {
-	// Ordered says that the server took the order and was seen to carry it out.
-	Ordered bool
-	// Version is the version that the server has now; 0 when it is not known.
+// LoadResult is the result of a load order.
+type LoadResult struct {
+	// Confirmed is set if the server accepted the order and was seen to carry it out.
+	Confirmed bool
+	// Version is the current version of the server, or 0 if unknown.
 	Version int64
 }
 
-// Options configure a Machine.
+// Options configures a Machine.
 type Options struct {
 	// Term is the epoch of the lease under which the machine runs.
 	Term int64
-	// ConcurrentLoads is how many servers of one service may always load at once;
-	// more do where loads do not become slower by it.
+	// ConcurrentLoads is the minimum load window of each service. The window grows while this does
+	// not slow loads down.
 	ConcurrentLoads int
 	// StallTimeout is the time without an event after which an item is moved.
 	StallTimeout time.Duration
-	// FreshnessLimit is the age of a partition's last read beyond which none of
-	// its items is started.
+	// FreshnessLimit is the maximum age of a partition's last read for its items to be started.
 	FreshnessLimit time.Duration
-	// ServerPause is how long a server gets no items after it failed one.
+	// ServerPause is how long a server gets no items after a run on it broke or stalled.
 	ServerPause time.Duration
-	// SaveInterval is the time between two savings of the runs' progress.
+	// SaveInterval is the time between two saves of progress.
 	SaveInterval time.Duration
 }
 
-// The defaults of Options.
+// Defaults of Options.
 const (
 	DefaultConcurrentLoads = 2
 	DefaultStallTimeout    = 900 * time.Millisecond
@@ -179,7 +178,7 @@
 	DefaultSaveInterval    = 400 * time.Millisecond
 )
 
-// item is one item that has no result in the log.
+// item is an item without a result in the log.
 type item struct {
 	job    *job
 	source *batch.Item
@@ -188,34 +187,34 @@
 	// text holds the data of the events so far.
 	text    []string
 	unsaved unsaved
-	// checkpointAt is when all of the text was last saved; zero when what was saved
-	// is not to be followed on.
+	// checkpointAt is when the full text was last saved; zero if the next save must be a
+	// checkpoint.
 	checkpointAt time.Time
 	lastID       string
 	versions     []int64
 	failures     int
-	// refused counts the attempts in a row that no engine took.
-	refused int
-	attempt *attempt
-	// whole items have all of their text and wait for the answer to their reward call.
-	whole bool
-	// finished items wait for their result to stand in the log.
+	// refusals counts consecutive attempts that no engine accepted.
+	refusals int
+	attempt  *attempt
+	// textComplete is set while the item waits for the answer to its reward call.
+	textComplete bool
+	// finished items wait for their result to appear in the log.
 	finished bool
-	// kept items are of jobs that ended; what they run may serve a later job.
-	kept bool
-	// carried items were in an earlier job; their trainer waits for them.
-	carried bool
-	// fingerprint tells the item from others; zero until it is needed.
+	// retained items belong to ended jobs; their runs may be claimed by a later job.
+	retained bool
+	// resubmitted items were in an earlier job, and their trainer is waiting for them.
+	resubmitted bool
+	// fingerprint identifies the item in suspicions; zero until first needed.
 	fingerprint quarantine.Fingerprint
-	// final is the result of a finished item that completed.
-	final *batch.Result
-	// waitingSince is when the item last came to its job's queue.
+	// result is the result of an item that finished with OutcomeCompleted.
+	result *batch.Result
+	// waitingSince is when the item last entered its job's queue.
 	waitingSince time.Time
 	// movedAt is when the item was last moved to a faster engine.
 	movedAt time.Time
 }
 
-// unsaved is what an item's run made since its last progress.
+// unsaved holds the events of an item's run since its last saved progress.
 type unsaved struct {
 	from     string
 	text     []string
@@ -231,39 +230,40 @@
 	minimum   int64
 	partition int
 	route     *routetable.Route
-	// cameAt is when the job was read.
-	cameAt time.Time
-	// giveUpAt is when its items may be given up; zero until the job has had a route.
+	// receivedAt is when the job was read.
+	receivedAt time.Time
+	// giveUpAt is when the job's items expire; zero until the job has had a route.
 	giveUpAt time.Time
-	order    int
+	arrival  int
 	items    map[string]*item
-	// queue holds the items that wait, the first to start first.
+	// queue holds the waiting items in the order in which they start.
 	queue []*item
-	// held holds the items that crash engines. They wait for nothing but the end of their time,
-	// and keep nothing else waiting.
+	// held holds items that are held because they crash engines. They stay here until they are
+	// released or expire, and do not block others.
 	held []*item
-	// groups holds the number of items without a result by group.
-	groups map[string]int
-	// done holds the results in the log, by item.
-	done map[string]*batch.Result
+	// unfinishedByGroup counts the items without a result in each group.
+	unfinishedByGroup map[string]int
+	// results holds the results in the log, by item.
+	results map[string]*batch.Result
 	// sources holds each item as it was submitted.
 	sources map[string]*batch.Item
 }
 
 type attempt struct {
-	id       AttemptID
-	item     *item
-	engine   *engine
-	begun    time.Time
-	lastSeen time.Time
-	// excused is the time since the last event that counts for nothing, as nobody looked.
-	excused time.Duration
-	events  int
-	// sampleBegan is when the sample of the engine's pace that is being taken began,
-	// sampled the number of its events.
-	sampleBegan time.Time
-	sampled     int
-	// cancelled attempts take no more events.
+	id          AttemptID
+	item        *item
+	engine      *engine
+	startedAt   time.Time
+	lastEventAt time.Time
+	// pauseAllowance is the time since the last event that was excused because this process was
+	// paused.
+	pauseAllowance time.Duration
+	events         int
+	// sampleStart is when the current gap sample of the engine started, and sampleEvents the
+	// number of its events.
+	sampleStart  time.Time
+	sampleEvents int
+	// cancelled attempts accept no more events.
 	cancelled bool
 }
 
@@ -271,33 +271,32 @@
 	server  Server
 	service string
 	slots   int
-	// warmUpRate is how many items a second the engine bears while it warms up, until warmAt; 0
-	// for any. starts are those of the last second.
-	warmUpRate float64
-	warmAt     time.Time
-	starts     slowstart.Window
-	versions   map[string]int64
-	listed     bool
+	// warmUpRate is the items per second that the engine sustains until warmAt; 0 means no limit.
+	// recentStarts holds the starts of the last second.
+	warmUpRate   float64
+	warmAt       time.Time
+	recentStarts slowstart.Window
+	versions     map[string]int64
+	listed       bool
 	// model is the model whose new versions this engine loads.
 	model    string
 	attempts map[AttemptID]*attempt
-	// draining engines take no items, since they are to load once they are idle.
+	// draining engines take no items, so that they become idle and can load.
 	draining bool
-	// loading is set from an order's start to its end, loadBegan is that start.
-	loading   bool
-	loadBegan time.Time
-	// loadBeganAs is how many servers of the service loaded when this one began, with it.
-	loadBeganAs int
-	// loadsAtOnce is how many servers of the service loaded at once since this one began, at
-	// the most.
-	loadsAtOnce int
-	pausedUntil time.Time
-	// silentAt is when a run last ended here for want of an answer; zero once an event came.
-	silentAt time.Time
-	// gap is the smoothed time between two events, in seconds; 0 when unknown.
+	// loading is set while a load order is in progress, since loadStartedAt.
+	loading       bool
+	loadStartedAt time.Time
+	// concurrentAtStart is the number of loads in the service when this one started, including it.
+	concurrentAtStart int
+	// maxConcurrentLoads is the highest number of loads in the service since this one started.
+	maxConcurrentLoads int
+	pausedUntil        time.Time
+	// unresponsiveAt is when a run last ended here without a response; zero after the next event.
+	unresponsiveAt time.Time
+	// gap is the smoothed time between two events in seconds, or 0 if unknown.
 	gap float64
-	// pacedAt is when the gap was last sampled.
-	pacedAt time.Time
-	// loadAfter delays the next order to this engine.
-	loadAfter time.Time
+	// gapSampledAt is when the gap was last sampled.
+	gapSampledAt time.Time
+	// nextLoadAt is the earliest time of the next load order to this engine.
+	nextLoadAt time.Time
 }
--- a/internal/scheduler/workingset_test.go
+++ b/internal/scheduler/workingset_test.go
@@ -10,14 +10,14 @@
 	"dalehook/internal/routetable"
 )
 
-// The load of a whole fleet: six trainers, each with a step of 150 to 208 items every 4 s, of which two may
-// be open, before thousands of engines of 6 slots.
+// A large fleet: six trainers, each with a step of 150 to 208 items every 4 s, of which two may be
+// open, on thousands of engines with 6 slots.
 var fleetSteps = map[string]int{"m0": 160, "m1": 192, "m2": 192, "m3": 160, "m4": 192, "m5": 208}
 
 const fleetSlots = 6
 
-// fleetOfEngines drives a machine before many engines whose loads all succeed at once.
-type fleetOfEngines struct {
+// simulatedFleet drives a machine with many engines whose loads all succeed at once.
+type simulatedFleet struct {
 	*fixture
 	versions map[string]map[string]int64
 	listed   []*directory.Server
@@ -25,8 +25,8 @@
 	step     int
 }
 
-func newFleetOfEngines(t *testing.T, engines int) *fleetOfEngines {
-	f := &fleetOfEngines{fixture: &fixture{t: t, now: time.Unix(1000, 0)}, versions: make(map[string]map[string]int64)}
+func newSimulatedFleet(t *testing.T, engines int) *simulatedFleet {
+	f := &simulatedFleet{fixture: &fixture{t: t, now: time.Unix(1000, 0)}, versions: make(map[string]map[string]int64)}
 	for number := range engines {
 		id := fmt.Sprintf("i-%06d", number)
 		f.versions[id] = make(map[string]int64)
@@ -37,12 +37,12 @@
 			ID: id, Service: "pool", Address: id + ":1", Zone: fmt.Sprint("z", number%6), Slots: fleetSlots, Versions: f.versions[id],
 		})
 	}
-	f.begin()
+	f.newTerm()
 	return f
 }
 
-// begin gives the lease to a new machine.
-func (f *fleetOfEngines) begin() {
+// newTerm gives the lease to a new machine.
+func (f *simulatedFleet) newTerm() {
 	f.machine = NewMachine(Options{})
 	models := []string{"m0", "m1", "m2", "m3", "m4", "m5"}
 	route := routetable.Route{
@@ -56,12 +56,12 @@
 	}
 	f.machine.HandleServers(f.now, f.listed)
 	f.machine.HandleLease(f.now, 1, true)
-	f.fresh()
+	f.readPartition()
 	f.carryOut()
 }
 
-// carryOut has the engines load what they are ordered to.
-func (f *fleetOfEngines) carryOut() {
+// carryOut completes all ordered loads.
+func (f *simulatedFleet) carryOut() {
 	f.take()
 	for len(f.orders) > 0 {
 		orders := f.orders
@@ -69,14 +69,15 @@
 		for _, order := range orders {
 			f.loads++
 			f.versions[order.Server.ID][order.Model] = order.Version
-			f.machine.HandleLoad(f.now, order.Server, order.Model, Load{Ordered: true, Version: order.Version})
+			f.machine.HandleLoad(f.now, order.Server, order.Model, LoadResult{Confirmed: true, Version: order.Version})
 			f.take()
 		}
 	}
 }
 
-// play has each trainer post a step, and name the next version 4 s later. Items run for 0.6 s.
-func (f *fleetOfEngines) play() {
+// runStep has each trainer submit a step and publish the next version 4 s later. Items run for 0.6
+// s.
+func (f *simulatedFleet) runStep() {
 	f.t.Helper()
 	f.step++
 	for model, items := range fleetSteps {
@@ -88,10 +89,10 @@
 		f.carryOut()
 	}
 	if waiting := f.machine.Waiting(); waiting > 0 {
-		f.t.Errorf("step %d: %d items wait though there are engines", f.step, waiting)
+		f.t.Errorf("step %d: %d items wait though engines are free", f.step, waiting)
 	}
 	for passed := range 20 {
-		f.pass(200 * time.Millisecond)
+		f.advance(200 * time.Millisecond)
 		f.carryOut()
 		if passed%3 == 2 {
 			ended := f.starts
@@ -102,33 +103,33 @@
 		}
 	}
 	if running := f.machine.Running(); running > 0 || len(f.cancels) > 0 {
-		f.t.Errorf("step %d: %d items still run, %d were moved", f.step, running, len(f.cancels))
+		f.t.Errorf("step %d: %d items still running, %d cancelled", f.step, running, len(f.cancels))
 	}
 	for model := range fleetSteps {
-		f.machine.HandleEnded(f.now, fmt.Sprint(model, " ", f.step))
+		f.machine.HandleJobEnd(f.now, fmt.Sprint(model, " ", f.step))
 		f.machine.HandleVersion(f.now, model, int64(f.step+1))
 	}
 	f.carryOut()
 }
 
-// Seen: 15,463 loads in a day of 4,832 items before 9,530 engines, and more connections than a process
-// may open.
-// The engines that are used, and what a version costs, depend on the steps and not on the engines that are
-// listed: those of two steps at once, and half more.
-func TestAFleetUsesTheEnginesThatItsStepsNeed(t *testing.T) {
+// Guards against a working set that grows with the fleet: 9,530 listed engines caused 15,463 loads
+// for 4,832 items in a day, and more connections than a process may open. The engines in use and
+// the loads per version must depend on the steps only: two concurrent steps, and half as many
+// engines again.
+func TestWorkingSetSizeFollowsSteps(t *testing.T) {
 	items := 0
 	for _, count := range fleetSteps {
 		items += count
 	}
 	need := 2*items/fleetSlots + len(fleetSteps)
 	for _, engines := range []int{10_000, 20_000} {
-		f := newFleetOfEngines(t, engines)
+		f := newSimulatedFleet(t, engines)
 		const steps = 5
 		for range steps {
-			f.play()
+			f.runStep()
 		}
 		if used := len(f.machine.engines); used < need || used > 2*need {
-			t.Errorf("%d engines: %d are used, %d are needed at once", engines, used, need)
+			t.Errorf("%d engines: %d in use, %d needed concurrently", engines, used, need)
 		}
 		if most := 2 * need * steps; f.loads > most {
 			t.Errorf("%d engines: %d loads for %d versions", engines, f.loads, steps)
@@ -136,36 +137,36 @@
 	}
 }
 
-// The holder of the next lease uses the engines that have the newest weights, also where others that come first by
-// their ids were listed since.
-func TestASuccessorUsesTheSameEngines(t *testing.T) {
-	f := newFleetOfEngines(t, 10_000)
+// The next lease holder uses the engines with the newest weights, even if engines with lower IDs
+// have been listed since.
+func TestSuccessorKeepsWorkingSet(t *testing.T) {
+	f := newSimulatedFleet(t, 10_000)
 	all := f.listed
 	f.listed = all[len(all)/2:]
-	f.begin()
+	f.newTerm()
 	for range 4 {
-		f.play()
+		f.runStep()
 	}
 	f.listed = all
 	before := len(f.machine.engines)
 	loads := f.loads
-	f.begin()
-	f.play()
-	newly := 0
+	f.newTerm()
+	f.runStep()
+	added := 0
 	for id := range f.machine.engines {
 		if f.versions[id]["m0"]+f.versions[id]["m1"]+f.versions[id]["m2"]+f.versions[id]["m3"]+f.versions[id]["m4"]+f.versions[id]["m5"] <= 8 {
-			newly++
+			added++
 		}
 	}
-	if newly > before/10 || f.loads-loads > 2*before {
-		t.Errorf("%d of %d engines were not used before, %d loads", newly, before, f.loads-loads)
+	if added > before/10 || f.loads-loads > 2*before {
+		t.Errorf("%d of %d engines newly in use, %d loads", added, before, f.loads-loads)
 	}
 }
 
-// A sixth of the engines is lost with a zone: others come in their place, and no item waits.
-func TestEnginesOfALostZoneAreReplaced(t *testing.T) {
-	f := newFleetOfEngines(t, 10_000)
-	f.play()
+// A sixth of the engines is lost with a zone: others replace them, and no item waits.
+func TestWorkingSetReplacesEnginesOfLostZone(t *testing.T) {
+	f := newSimulatedFleet(t, 10_000)
+	f.runStep()
 	var left []*directory.Server
 	for _, server := range f.listed {
 		if server.Zone != "z0" {
@@ -176,23 +177,23 @@
 	f.listed = left
 	f.machine.HandleServers(f.now, left)
 	f.carryOut()
-	f.play()
+	f.runStep()
 	if used := len(f.machine.engines); used < before*9/10 {
-		t.Errorf("%d engines are used, %d were before the loss", used, before)
+		t.Errorf("%d engines in use, %d before the loss", used, before)
 	}
 }
 
 // A small fleet uses all its engines.
-func TestASmallFleetUsesAllEngines(t *testing.T) {
-	f := newFleetOfEngines(t, leastEngines)
-	if used := len(f.machine.engines); used != leastEngines {
-		t.Errorf("%d of %d engines are used", used, leastEngines)
+func TestSmallFleetUsesAllEngines(t *testing.T) {
+	f := newSimulatedFleet(t, minWorkingSet)
+	if used := len(f.machine.engines); used != minWorkingSet {
+		t.Errorf("%d of %d engines in use", used, minWorkingSet)
 	}
 }
 
-// BenchmarkAnEngineIsReplaced chooses the engines anew after one of 552 that were used is gone, of 10,000
-// that are listed.
-func BenchmarkAnEngineIsReplaced(b *testing.B) {
+// BenchmarkReplaceEngine measures the selection of engines after one of 552 in use is lost, with
+// 10,000 listed.
+func BenchmarkReplaceEngine(b *testing.B) {
 	const listed, wanted = 10_000, 552
 	servers := make([]*directory.Server, 0, listed)
 	for number := range listed {
@@ -207,7 +208,7 @@
 		used[server.ID] = true
 	}
 	for b.Loop() {
-		if chosen := chooseOf(servers, wanted, func(id string) bool { return used[id] }); len(chosen) != wanted {
+		if chosen := chooseServers(servers, wanted, func(id string) bool { return used[id] }); len(chosen) != wanted {
 			b.Fatal(len(chosen))
 		}
 	}
