--- a/internal/batch/codec.go
+++ b/internal/batch/codec.go
@@ -7,18 +7,17 @@
 	"fmt"
 )
 
-// fragmentSize is the largest part of a message that one record holds, in bytes.
-// The store takes records of 256 KiB.
+// fragmentSize is the maximum part of a message in one record, in bytes. The store accepts records
+// of up to 256 KiB.
 const fragmentSize = 240 << 10
 
-// A record begins with one byte that says whether more fragments of the message
-// follow in the next record.
+// The first byte of a record says whether the message continues in the next record.
 const (
 	fragmentMore = 'm'
 	fragmentLast = 'l'
 )
 
-// message is what stands in the log; one field is set.
+// message is the content of one or more records; exactly one field is set.
 type message struct {
 	Job    *Job    `json:",omitempty"`
 	Result *Result `json:",omitempty"`
@@ -28,12 +27,12 @@
 // EncodeJob returns the records that accept a job.
 func EncodeJob(job *Job) ([][]byte, error) { return encode(message{Job: job}) }
 
-// EncodeResult returns the records that list a result.
+// EncodeResult returns the records of a result.
 func EncodeResult(result *Result) ([][]byte, error) { return encode(message{Result: result}) }
 
-var errNoResult = errors.New("the records hold no result")
+var errNoResult = errors.New("no result in batch records")
 
-// DecodeResult returns the result that the records of EncodeResult list.
+// DecodeResult returns the result encoded by EncodeResult.
 func DecodeResult(records [][]byte) (*Result, error) {
 	var joined assembler
 	for _, record := range records {
@@ -54,7 +53,7 @@
 func encode(m message) ([][]byte, error) {
 	text, err := json.Marshal(m)
 	if err != nil {
-		return nil, fmt.Errorf("encode a batch record: %w", err)
+		return nil, fmt.Errorf("encode batch message: %w", err)
 	}
 	var records [][]byte
 	for {
@@ -74,31 +73,31 @@
 	}
 }
 
-var errEmptyRecord = errors.New("batch record is empty")
+var errEmptyRecord = errors.New("empty batch record")
 
 // assembler joins the fragments of messages.
 type assembler struct {
 	pending []byte
-	// marker stands in the first fragment of each message that is wanted; without one all are.
+	// marker is contained in the first fragment of each wanted message; nil if all are wanted.
 	marker []byte
-	// skipping says that the last record began or went on with a message that is not wanted.
+	// skipping is set while the next record continues an unwanted message.
 	skipping bool
 }
 
-// skips says whether a record belongs to a message that is not wanted.
-func (a *assembler) skips(record []byte) bool {
-	begins := len(a.pending) == 0 && !a.skipping
-	skipped := a.skipping || begins && !bytes.Contains(record, a.marker)
+// skip reports whether a record belongs to an unwanted message.
+func (a *assembler) skip(record []byte) bool {
+	startsMessage := len(a.pending) == 0 && !a.skipping
+	skipped := a.skipping || startsMessage && !bytes.Contains(record, a.marker)
 	a.skipping = skipped && record[0] == fragmentMore
 	return skipped
 }
 
-// add takes one record and returns the message that it completes, if any.
+// add processes one record. It returns the message that the record completes, or nil.
 func (a *assembler) add(record []byte) (*message, error) {
 	if len(record) == 0 {
 		return nil, errEmptyRecord
 	}
-	if a.skips(record) {
+	if a.skip(record) {
 		return nil, nil
 	}
 	if record[0] == fragmentMore {
@@ -112,7 +111,7 @@
 	}
 	decoded := &message{}
 	if err := json.Unmarshal(text, decoded); err != nil {
-		return nil, fmt.Errorf("decode a batch record: %w", err)
+		return nil, fmt.Errorf("decode batch message: %w", err)
 	}
 	return decoded, nil
 }
--- a/internal/batch/fold.go
+++ b/internal/batch/fold.go
@@ -2,59 +2,60 @@
 
 import "encoding/json"
 
-// State is what the log says of one job.
+// State is the state of one job according to the log.
 type State struct {
 	Job *Job
-	// Results stand in the order of the log; a result's index is its position.
+	// Results are in the order of the log. The index of a result is its position, which never
+	// changes.
 	Results []Result
 	Ended   bool
-	// Start is the offset of the job's first record in its partition, where the reader
-	// of the partition has noted it.
+	// Start is the offset of the job's first record in its partition, if the reader of the
+	// partition has set it.
 	Start int64
 
-	listed map[string]bool
-	items  map[string]*Item
-	total  int
+	withResult map[string]bool
+	items      map[string]*Item
+	total      int
 }
 
-// Is says whether a name is that of the job.
-func (s *State) Is(name Name) bool { return s.Job.ID == name.ID && s.Job.Tenant == name.Tenant }
+// Matches reports whether the key is that of the job.
+func (s *State) Matches(key JobKey) bool { return s.Job.ID == key.ID && s.Job.Tenant == key.Tenant }
 
-// Listed says whether an item has a result.
-func (s *State) Listed(itemID string) bool { return s.listed[itemID] }
+// HasResult reports whether an item has a result.
+func (s *State) HasResult(itemID string) bool { return s.withResult[itemID] }
 
 // Item returns an item of the job, or nil.
 func (s *State) Item(itemID string) *Item { return s.items[itemID] }
 
-// Total returns the number of the job's items.
+// Total returns the number of items in the job.
 func (s *State) Total() int { return s.total }
 
-// Change is what one record did. One field is set; none when the record was void.
+// Change is the effect of one record. All fields are nil if the record was ignored.
 type Change struct {
-	// Accepted is a job that was not known before.
+	// Accepted is a newly accepted job.
 	Accepted *State
-	// Listed is a result that took a position in State.
-	Listed *Result
+	// Result is a result that was added to State.
+	Result *Result
 	State  *State
-	// Ended is a job that was open.
+	// Ended is a job that was open before the record.
 	Ended *State
 }
 
-// Fold turns the records of one partition, in order, into states of jobs.
+// Fold builds the states of jobs from the records of one partition, in order.
 type Fold struct {
 	jobs      map[string]*State
 	assembler assembler
 }
 
-// NewFold returns the state of an empty partition.
+// NewFold returns a Fold for an empty partition.
 func NewFold() *Fold { return &Fold{jobs: make(map[string]*State)} }
 
-// NewJobFold returns the state of an empty partition of which only one job is wanted: messages
-// that do not name it are not decoded.
+// NewJobFold returns a Fold that only tracks one job. Messages that do not contain its ID are not
+// decoded.
 func NewJobFold(jobID string) *Fold {
 	fold := NewFold()
 	if marker, err := json.Marshal(jobID); err == nil {
-		// Each message names its job in its first fields.
+		// Each message contains the ID of its job in its first fields.
 		fold.assembler.marker = marker
 	}
 	return fold
@@ -63,23 +64,22 @@
 // Job returns the state of a job, or nil.
 func (f *Fold) Job(id string) *State { return f.jobs[id] }
 
-// Drop forgets a job.
+// Drop removes a job.
 func (f *Fold) Drop(id string) { delete(f.jobs, id) }
 
-// Jobs calls visit for each job, in no order.
+// Jobs calls visit for each job, in unspecified order.
 func (f *Fold) Jobs(visit func(*State)) {
 	for _, state := range f.jobs {
 		visit(state)
 	}
 }
 
-// Between says that the last record was the end of a message, so that the next one is a
-// beginning.
-func (f *Fold) Between() bool { return len(f.assembler.pending) == 0 }
+// AtMessageBoundary reports whether the last record completed a message, so that the next record
+// starts one.
+func (f *Fold) AtMessageBoundary() bool { return len(f.assembler.pending) == 0 }
 
-// Apply takes the next record. Of several records that accept one job, or list
-// one item, the first counts and the others are void,
-// and so are results that come after the end of their job.
+// Apply processes the next record. Of several records that accept the same job or hold a result of
+// the same item, only the first counts. Results after the end of their job are ignored.
 func (f *Fold) Apply(record []byte) (Change, error) {
 	decoded, err := f.assembler.add(record)
 	if err != nil || decoded == nil {
@@ -89,7 +89,7 @@
 	case decoded.Job != nil:
 		return f.accept(decoded.Job), nil
 	case decoded.Result != nil:
-		return f.list(decoded.Result), nil
+		return f.addResult(decoded.Result), nil
 	case decoded.End != nil:
 		return f.end(decoded.End), nil
 	}
@@ -101,10 +101,10 @@
 		return Change{}
 	}
 	state := &State{
-		Job:    job,
-		listed: make(map[string]bool, len(job.Items)),
-		items:  make(map[string]*Item, len(job.Items)),
-		total:  len(job.Items),
+		Job:        job,
+		withResult: make(map[string]bool, len(job.Items)),
+		items:      make(map[string]*Item, len(job.Items)),
+		total:      len(job.Items),
 	}
 	for i := range job.Items {
 		state.items[job.Items[i].ID] = &job.Items[i]
@@ -113,14 +113,14 @@
 	return Change{Accepted: state}
 }
 
-func (f *Fold) list(result *Result) Change {
+func (f *Fold) addResult(result *Result) Change {
 	state := f.jobs[result.JobID]
-	if state == nil || state.Ended || state.listed[result.ItemID] || state.items[result.ItemID] == nil {
+	if state == nil || state.Ended || state.withResult[result.ItemID] || state.items[result.ItemID] == nil {
 		return Change{}
 	}
-	state.listed[result.ItemID] = true
+	state.withResult[result.ItemID] = true
 	state.Results = append(state.Results, *result)
-	return Change{Listed: result, State: state}
+	return Change{Result: result, State: state}
 }
 
 func (f *Fold) end(end *End) Change {
@@ -129,8 +129,8 @@
 		return Change{}
 	}
 	state.Ended = true
-	// Items are not asked for after the end. The job is copied, since others may
-	// still hold the one that was accepted.
+	// Items are not needed after the end. The job is copied, since the accepted one may still be
+	// in use elsewhere.
 	closed := *state.Job
 	closed.Items = nil
 	state.Job = &closed
--- a/internal/batch/fold_test.go
+++ b/internal/batch/fold_test.go
@@ -18,7 +18,7 @@
 	return records
 }
 
-func apply(t interface{ Fatal(...any) }, fold *Fold, records [][]byte) Change {
+func applyAll(t interface{ Fatal(...any) }, fold *Fold, records [][]byte) Change {
 	var last Change
 	for _, record := range records {
 		change, err := fold.Apply(record)
@@ -38,28 +38,28 @@
 	return job
 }
 
-func TestFoldTakesAJobOnce(t *testing.T) {
+func TestFoldAcceptsJobOnce(t *testing.T) {
 	fold := NewFold()
 	records, err := EncodeJob(sampleJob(2))
 	records = mustEncode(t, records, err)
-	if change := apply(t, fold, records); change.Accepted == nil {
-		t.Fatal("the first record was void")
+	if change := applyAll(t, fold, records); change.Accepted == nil {
+		t.Fatal("the first job record was ignored")
 	}
-	if change := apply(t, fold, records); change != (Change{}) {
-		t.Fatalf("the second record did %+v", change)
+	if change := applyAll(t, fold, records); change != (Change{}) {
+		t.Fatalf("the second job record caused change %+v", change)
 	}
 	if got := fold.Job("job").Total(); got != 2 {
 		t.Errorf("total %d", got)
 	}
 }
 
-func TestFoldListsAnItemOnce(t *testing.T) {
+func TestFoldKeepsFirstResultOfItem(t *testing.T) {
 	fold := NewFold()
 	records, err := EncodeJob(sampleJob(2))
-	apply(t, fold, mustEncode(t, records, err))
+	applyAll(t, fold, mustEncode(t, records, err))
 	for _, text := range []string{"first", "second"} {
 		records, err := EncodeResult(&Result{JobID: "job", ItemID: "i1", Text: text, Versions: []int64{1}})
-		apply(t, fold, mustEncode(t, records, err))
+		applyAll(t, fold, mustEncode(t, records, err))
 	}
 	want := []Result{{JobID: "job", ItemID: "i1", Text: "first", Versions: []int64{1}}}
 	if diff := cmp.Diff(want, fold.Job("job").Results); diff != "" {
@@ -67,19 +67,19 @@
 	}
 }
 
-func TestFoldVoidsForeignAndLateResults(t *testing.T) {
+func TestFoldIgnoresUnknownAndLateResults(t *testing.T) {
 	fold := NewFold()
 	records, err := EncodeJob(sampleJob(2))
-	apply(t, fold, mustEncode(t, records, err))
+	applyAll(t, fold, mustEncode(t, records, err))
 	list := func(job, item string) {
 		records, err := EncodeResult(&Result{JobID: job, ItemID: item})
-		apply(t, fold, mustEncode(t, records, err))
+		applyAll(t, fold, mustEncode(t, records, err))
 	}
 	list("job", "of another job")
 	list("unknown", "i0")
 	records, err = EncodeEnd(&End{JobID: "job"})
-	if change := apply(t, fold, mustEncode(t, records, err)); change.Ended == nil {
-		t.Error("the end was void")
+	if change := applyAll(t, fold, mustEncode(t, records, err)); change.Ended == nil {
+		t.Error("the end was ignored")
 	}
 	list("job", "i0")
 	state := fold.Job("job")
@@ -98,21 +98,21 @@
 	}
 	for _, record := range records {
 		if len(record) > 256<<10 {
-			t.Fatalf("a record of %d bytes", len(record))
+			t.Fatalf("record of %d bytes", len(record))
 		}
 	}
 	fold := NewFold()
-	if change := apply(t, fold, records); change.Accepted == nil {
-		t.Fatal("not accepted")
+	if change := applyAll(t, fold, records); change.Accepted == nil {
+		t.Fatal("job not accepted")
 	}
 	if diff := cmp.Diff(job.Items[0].Body, fold.Job("job").Item("i0").Body); diff != "" {
-		t.Error("the body differs")
+		t.Error("item body differs")
 	}
 }
 
-// Every reader of a log, however far, has a prefix of the positions that a
-// reader of the whole log has.
-func TestPositionsNeverChange(t *testing.T) {
+// A reader that has read only part of a log has a prefix of the results of a reader of the whole
+// log.
+func TestResultPositionsAreStable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		records, err := EncodeJob(sampleJob(5))
 		log := mustEncode(t, records, err)
@@ -123,9 +123,9 @@
 			log = append(log, mustEncode(t, records, err)...)
 		}
 		whole := NewFold()
-		apply(t, whole, log)
+		applyAll(t, whole, log)
 		part := NewFold()
-		apply(t, part, log[:rapid.IntRange(1, len(log)).Draw(t, "read")])
+		applyAll(t, part, log[:rapid.IntRange(1, len(log)).Draw(t, "read")])
 		all := whole.Job("job").Results
 		some := part.Job("job").Results
 		if diff := cmp.Diff(all[:len(some)], some); len(some) > 0 && diff != "" {
@@ -134,14 +134,14 @@
 		seen := make(map[string]bool)
 		for _, result := range all {
 			if seen[result.ItemID] {
-				t.Fatalf("%s stands twice", result.ItemID)
+				t.Fatalf("%s has two results", result.ItemID)
 			}
 			seen[result.ItemID] = true
 		}
 	})
 }
 
-func TestOnlyItsTenantEndsAJob(t *testing.T) {
+func TestOnlyOwnTenantEndsJob(t *testing.T) {
 	fold := NewFold()
 	records, err := EncodeJob(&Job{ID: "j", Tenant: "a", Items: []Item{{ID: "i"}}})
 	if err != nil {
@@ -161,41 +161,41 @@
 		return last
 	}
 	apply(records, nil)
-	for _, stranger := range []string{"b", ""} {
-		if change := apply(EncodeEnd(&End{JobID: "j", Tenant: stranger})); change.Ended != nil {
-			t.Errorf("tenant %q ended the job", stranger)
+	for _, other := range []string{"b", ""} {
+		if change := apply(EncodeEnd(&End{JobID: "j", Tenant: other})); change.Ended != nil {
+			t.Errorf("tenant %q ended the job", other)
 		}
 	}
 	if change := apply(EncodeEnd(&End{JobID: "j", Tenant: "a"})); change.Ended == nil {
-		t.Error("its tenant did not end the job")
+		t.Error("the job's tenant could not end it")
 	}
-	if state := fold.Job("j"); !state.Is(Name{Tenant: "a", ID: "j"}) || state.Is(Name{Tenant: "b", ID: "j"}) || state.Is(Name{ID: "j"}) {
-		t.Error("a job's name is taken for another's")
+	if state := fold.Job("j"); !state.Matches(JobKey{Tenant: "a", ID: "j"}) || state.Matches(JobKey{Tenant: "b", ID: "j"}) || state.Matches(JobKey{ID: "j"}) {
+		t.Error("job key matched with the wrong tenant")
 	}
 }
 
-// A fold of one job comes to the same state of it as a fold of all, whatever the sizes of the
-// messages between, and knows of no other.
-func TestAFoldOfOneJobIsThatOfAllForIt(t *testing.T) {
+// A Fold of one job builds the same state of it as a Fold of all jobs, whatever the sizes of the
+// messages in between, and tracks no other job.
+func TestJobFoldMatchesFullFold(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		whole, one := NewFold(), NewJobFold("a\"<&>")
 		for range rapid.IntRange(1, 12).Draw(t, "messages") {
 			job := rapid.SampledFrom([]string{"a\"<&>", "b", "c"}).Draw(t, "job")
 			records := drawMessage(t, job)
-			apply(t, whole, records)
-			apply(t, one, records)
+			applyAll(t, whole, records)
+			applyAll(t, one, records)
 		}
 		compare := cmp.AllowUnexported(State{})
 		if diff := cmp.Diff(whole.Job("a\"<&>"), one.Job("a\"<&>"), compare); diff != "" {
 			t.Fatal(diff)
 		}
 		if one.Job("b") != nil || one.Job("c") != nil {
-			t.Fatal("another job is known")
+			t.Fatal("the job fold tracks another job")
 		}
 	})
 }
 
-// drawMessage returns the records of some message of a job, of several fragments now and then.
+// drawMessage returns the records of a random message of a job, sometimes with several fragments.
 func drawMessage(t *rapid.T, job string) [][]byte {
 	text := strings.Repeat("x", rapid.SampledFrom([]int{1, 1, 1, fragmentSize, 2*fragmentSize + 5}).Draw(t, "size"))
 	switch rapid.IntRange(0, 3).Draw(t, "kind") {
--- a/internal/batch/job.go
+++ b/internal/batch/job.go
@@ -1,6 +1,5 @@
-// Package batch holds batch jobs as they stand in the store: what was accepted,
-// the results in the order of the log, and the end. All nodes that read a
-// partition come to the same state.
+// Package batch defines batch jobs and their records in the store: the accepted job, its results
+// in log order, and its end. All nodes that read a partition build the same state.
 package batch
 
 import (
@@ -13,23 +12,22 @@
 type Item struct {
 	ID   string
 	Path string
-	// Headers are sent along as they came.
+	// Headers are forwarded unchanged.
 	Headers map[string]string `json:",omitempty"`
 	Body    []byte
-	// Tokens is the prompt and the most that is generated, summed.
+	// Tokens is the length of the prompt plus the maximum length of the completion.
 	Tokens int
-	// Expected is the caller's estimate of the tokens that will be generated; 0
-	// when it gave none.
+	// Expected is the caller's estimate of the number of generated tokens, or 0.
 	Expected int `json:",omitempty"`
-	// Group names the items that share a prompt; empty when there are no groups.
+	// Group identifies the items that share a prompt. It is empty if the job has no groups.
 	Group string `json:",omitempty"`
-	// Reward scores the whole text; nil when the item needs no score.
+	// Reward is the call that scores the complete text, or nil if the item needs no score.
 	Reward *reward.Call `json:",omitempty"`
 }
 
-// Name names a job to those who may know of it.
-type Name struct {
-	// Tenant is whose jobs are looked among; empty for those of nobody.
+// JobKey identifies a job within a tenant.
+type JobKey struct {
+	// Tenant is the owner of the job; empty for jobs without a tenant.
 	Tenant string
 	ID     string
 }
@@ -37,17 +35,17 @@
 // Job is a batch job as a caller submitted it.
 type Job struct {
 	ID string
-	// Tenant is on whose behalf the items run; empty where callers need no keys.
+	// Tenant is the tenant that the items run for; empty if callers need no keys.
 	Tenant string `json:",omitempty"`
 	Host   string
-	// Path is the path that the job was submitted to; it chooses the route.
+	// Path is the path that the job was submitted to. It selects the route.
 	Path string
 	// Step counts a trainer's jobs from 0.
 	Step  int
 	Model string `json:",omitempty"`
-	// MinVersion is the oldest weight version that may make the results' tokens.
+	// MinVersion is the oldest weight version that may generate the results.
 	MinVersion int64
-	// WantedGroups is the number of whole groups that the trainer waits for.
+	// WantedGroups is the number of complete groups that the trainer waits for.
 	WantedGroups int
 	Items        []Item
 }
@@ -55,9 +53,9 @@
 // Outcome says how an item ended.
 type Outcome int
 
-// The outcomes of an item.
+// Outcomes of an item.
 const (
-	// OutcomeCompleted items carry their whole text.
+	// OutcomeCompleted items have a complete text.
 	OutcomeCompleted Outcome = iota
 	// OutcomeDead items were given up.
 	OutcomeDead
@@ -65,7 +63,8 @@
 
 var outcomeNames = [...]string{"completed", "dead"}
 
-// String implements fmt.Stringer. Results of later builds may have outcomes that this one does not have.
+// String implements fmt.Stringer. Results of later builds may have outcomes that are unknown to
+// this one.
 func (o Outcome) String() string {
 	if o < 0 || int(o) >= len(outcomeNames) {
 		return fmt.Sprintf("outcome %d", int(o))
@@ -81,16 +80,16 @@
 	Outcome Outcome
 	// Text is the data of all events, joined by line feeds.
 	Text string `json:",omitempty"`
-	// Versions are the weight versions that made the text, ascending.
+	// Versions are the weight versions that generated the text, in ascending order.
 	Versions []int64 `json:",omitempty"`
-	// Score is what the item's reward call was answered with; empty for items that
-	// have none or are dead.
+	// Score is the answer to the item's reward call. It is empty for dead items and for items
+	// without a reward call.
 	Score string `json:",omitempty"`
 }
 
-// End closes a job.
+// End is the end of a job.
 type End struct {
 	JobID string
-	// Tenant is that of the caller. The end of another tenant's job is void.
+	// Tenant is the tenant of the caller. An end by another tenant than the job's is ignored.
 	Tenant string `json:",omitempty"`
 }
--- a/internal/batch/progress.go
+++ b/internal/batch/progress.go
@@ -5,27 +5,27 @@
 	"fmt"
 )
 
-// Progress is what is saved of an item that runs: a checkpoint with its text so far, or
-// what its run made since the last progress. It lets a successor go on where its
-// predecessor's run was, instead of from nothing.
+// Progress is a saved part of a running item's text: a checkpoint with the text so far, or the
+// text generated since the last progress. It lets a successor resume the item instead of starting
+// over.
 type Progress struct {
 	ItemID string
-	// Tenant is that of the job that the progress was made for.
+	// Tenant is the tenant of the job.
 	Tenant string `json:",omitempty"`
-	// Run names the run, unlike any other.
+	// Run is the unique name of the run.
 	Run string
-	// Checkpoint marks a progress that holds the text from its start on, whichever runs
-	// made it. What was saved before counts no more.
+	// Checkpoint marks a progress that holds the text from its start, whichever runs generated it.
+	// It replaces all earlier progress.
 	Checkpoint bool `json:",omitempty"`
-	// From is the id of the last event before this progress; empty for checkpoints.
+	// From is the ID of the last event before this progress; empty for checkpoints.
 	From string `json:",omitempty"`
-	// LastID is the id of the last event.
+	// LastID is the ID of the last event.
 	LastID string
 	// Text is the data of the events, joined by line feeds.
 	Text string
-	// Versions are the weight versions that made the events, ascending.
+	// Versions are the weight versions that generated the events, in ascending order.
 	Versions []int64
-	// Whole says that the item's text ends here.
+	// Whole is set if the item's text is complete.
 	Whole bool `json:",omitempty"`
 }
 
@@ -33,39 +33,39 @@
 func EncodeProgress(progress *Progress) ([]byte, error) {
 	record, err := json.Marshal(progress)
 	if err != nil {
-		return nil, fmt.Errorf("encode the progress of item %s: %w", progress.ItemID, err)
+		return nil, fmt.Errorf("encode progress of item %s: %w", progress.ItemID, err)
 	}
 	return record, nil
 }
 
-// Partial is the text of an item as far as progress tells it.
+// Partial is the recovered text of an item.
 type Partial struct {
 	Tenant   string
 	Run      string
 	LastID   string
 	Text     []string
 	Versions []int64
-	// Whole says that the text is all that the item has.
+	// Whole is set if the text is complete.
 	Whole bool
 }
 
-// ProgressFold joins the progress of items. What is no checkpoint counts only where it
-// follows on what came before within its run. So the texts of two runs are never mixed.
+// ProgressFold joins the progress records of items. A record that is not a checkpoint only counts
+// if it continues the text of the same run, so that the texts of two runs are never mixed.
 type ProgressFold struct {
 	partials map[string]*Partial
 }
 
-// NewProgressFold returns the fold of no records.
+// NewProgressFold returns an empty ProgressFold.
 func NewProgressFold() *ProgressFold { return &ProgressFold{partials: make(map[string]*Partial)} }
 
-// Partials returns what is known, by item.
+// Partials returns the recovered texts, by item.
 func (f *ProgressFold) Partials() map[string]*Partial { return f.partials }
 
-// Apply takes the next record.
+// Apply processes the next record.
 func (f *ProgressFold) Apply(record []byte) error {
 	var progress Progress
 	if err := json.Unmarshal(record, &progress); err != nil {
-		return fmt.Errorf("decode a progress: %w", err)
+		return fmt.Errorf("decode progress record: %w", err)
 	}
 	if progress.Checkpoint {
 		f.partials[progress.ItemID] = &Partial{Tenant: progress.Tenant, Run: progress.Run}
--- a/internal/batch/progress_test.go
+++ b/internal/batch/progress_test.go
@@ -6,7 +6,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-func TestProgressJoinsOnlyWhatFollows(t *testing.T) {
+func TestProgressFoldJoinsOnlyConsecutiveRecords(t *testing.T) {
 	first := Progress{ItemID: "i", Run: "a", Checkpoint: true, LastID: "2", Text: "1\n2", Versions: []int64{1}}
 	next := Progress{ItemID: "i", Run: "a", From: "2", LastID: "3", Text: "3", Versions: []int64{2}}
 	resumed := Progress{ItemID: "i", Run: "b", Checkpoint: true, LastID: "4", Text: "1\n2\n3\n4", Versions: []int64{1, 2}}
@@ -17,20 +17,20 @@
 		want    *Partial
 	}{
 		{"one run", []Progress{first, next}, both},
-		{"a repeated append", []Progress{first, next, next}, both},
-		{"a checkpoint of another run", []Progress{first, next, resumed},
+		{"repeated append", []Progress{first, next, next}, both},
+		{"checkpoint of another run", []Progress{first, next, resumed},
 			&Partial{Run: "b", LastID: "4", Text: []string{"1\n2\n3\n4"}, Versions: []int64{1, 2}}},
-		{"a checkpoint after a start that was trimmed", []Progress{next, resumed},
+		{"checkpoint after a trimmed start", []Progress{next, resumed},
 			&Partial{Run: "b", LastID: "4", Text: []string{"1\n2\n3\n4"}, Versions: []int64{1, 2}}},
-		{"the run before a checkpoint of another", []Progress{first, resumed, next},
+		{"previous run after a checkpoint of another", []Progress{first, resumed, next},
 			&Partial{Run: "b", LastID: "4", Text: []string{"1\n2\n3\n4"}, Versions: []int64{1, 2}}},
-		{"another run that is as far", []Progress{first, {ItemID: "i", Run: "b", From: "2", LastID: "3", Text: "x"}},
+		{"another run at the same position", []Progress{first, {ItemID: "i", Run: "b", From: "2", LastID: "3", Text: "x"}},
 			&Partial{Run: "a", LastID: "2", Text: []string{"1\n2"}, Versions: []int64{1}}},
-		{"a run that goes on after an event that is not the last", []Progress{first, {ItemID: "i", Run: "a", From: "3", LastID: "4", Text: "4"}},
+		{"gap in the run", []Progress{first, {ItemID: "i", Run: "a", From: "3", LastID: "4", Text: "4"}},
 			&Partial{Run: "a", LastID: "2", Text: []string{"1\n2"}, Versions: []int64{1}}},
-		{"a run from the start", []Progress{first, next, {ItemID: "i", Run: "c", Checkpoint: true, LastID: "1", Text: "1", Versions: []int64{3}}},
+		{"new run from the start", []Progress{first, next, {ItemID: "i", Run: "c", Checkpoint: true, LastID: "1", Text: "1", Versions: []int64{3}}},
 			&Partial{Run: "c", LastID: "1", Text: []string{"1"}, Versions: []int64{3}}},
-		{"the end of a run whose start was trimmed", []Progress{next}, nil},
+		{"continuation of a run with a trimmed start", []Progress{next}, nil},
 	}
 	for _, c := range cases {
 		fold := NewProgressFold()
--- a/internal/batch/versions.go
+++ b/internal/batch/versions.go
@@ -2,12 +2,11 @@
 
 import "slices"
 
-// MergeVersions returns the versions of both lists, ascending, each once. It may
-// reuse the first list.
+// MergeVersions returns the sorted union of both lists. It may modify the first list.
 func MergeVersions(versions, more []int64) []int64 {
 	for _, version := range more {
-		at, known := slices.BinarySearch(versions, version)
-		if !known {
+		at, found := slices.BinarySearch(versions, version)
+		if !found {
 			versions = slices.Insert(versions, at, version)
 		}
 	}
--- a/internal/batch/wire_test.go
+++ b/internal/batch/wire_test.go
@@ -7,7 +7,7 @@
 )
 
 func TestWire(t *testing.T) {
-	tenant := "empty where callers need no keys, and from builds that know none"
+	tenant := "empty if callers need no keys, and in messages of builds without tenants"
 	wiretest.Check(t, []wiretest.Message{
 		{Name: "message", Codec: wiretest.JSON, Value: message{}, Added: map[string]string{"Job[].Tenant": tenant, "End[].Tenant": tenant}},
 		{Name: "progress", Codec: wiretest.JSON, Value: Progress{}, Added: map[string]string{"Tenant": tenant}},
--- a/internal/coordinator/follower.go
+++ b/internal/coordinator/follower.go
@@ -29,8 +29,8 @@
 				zap.Int("partition", partition), zap.Int("results", len(change.Accepted.Results)),
 				zap.Int64("epoch", f.coordinator.termEpoch))
 			f.machine.HandleJob(now, partition, change.Accepted.Job, change.Accepted.Results)
-		case change.Listed != nil:
-			f.machine.HandleResult(now, change.Listed)
+		case change.Result != nil:
+			f.machine.HandleResult(now, change.Result)
 		case change.Ended != nil:
 			f.machine.HandleJobEnd(now, change.Ended.Job.ID)
 		}
--- a/internal/frontend/endedjobs_bench_test.go
+++ b/internal/frontend/endedjobs_bench_test.go
@@ -73,7 +73,7 @@
 func readWhole(t testing.TB, node *jobReader, job string) (first, all time.Duration) {
 	began := time.Now()
 	for from := 0; from < grownItems-1; {
-		_, results, verdict := node.results(context.Background(), batch.Name{ID: job}, from, 0)
+		_, results, verdict := node.results(context.Background(), batch.JobKey{ID: job}, from, 0)
 		if verdict == VerdictAbsent {
 			t.Errorf("job %s is absent", job)
 			return
--- a/internal/frontend/jobreads.go
+++ b/internal/frontend/jobreads.go
@@ -162,7 +162,7 @@
 
 // results returns a job's results from a position on. Where there is none yet, the answer
 // may be held for wait.
-func (r *jobReader) results(ctx context.Context, job batch.Name, from int, wait time.Duration) (total int, results []batch.Result, verdict Verdict) {
+func (r *jobReader) results(ctx context.Context, job batch.JobKey, from int, wait time.Duration) (total int, results []batch.Result, verdict Verdict) {
 	source := sourceKnown
 	page := r.knownResults(job, from)
 	if page.Verdict == jobread.Found {
@@ -193,7 +193,7 @@
 
 // passResultsOn asks the coordinator, if one is known: for what there is now, so that one
 // that is gone is soon noticed, and once more where the answer may be held.
-func (r *jobReader) passResultsOn(ctx context.Context, job batch.Name, from int, wait time.Duration) jobread.Results {
+func (r *jobReader) passResultsOn(ctx context.Context, job batch.JobKey, from int, wait time.Duration) jobread.Results {
 	address := r.passOnTo(ctx)
 	if address == "" {
 		return jobread.Results{}
@@ -225,7 +225,7 @@
 
 // understood says whether the coordinator at an address answered what it was asked. Where it did not, the
 // store is read.
-func (r *jobReader) understood(address string, asked, answered batch.Name, verdict jobread.Verdict) bool {
+func (r *jobReader) understood(address string, asked, answered batch.JobKey, verdict jobread.Verdict) bool {
 	if jobread.Understood(asked, answered, verdict) {
 		return true
 	}
@@ -241,7 +241,7 @@
 }
 
 // awaitLocally holds a page without results until this node's own reading brings one.
-func (r *jobReader) awaitLocally(ctx context.Context, job batch.Name, from int, wait time.Duration, page jobread.Results) jobread.Results {
+func (r *jobReader) awaitLocally(ctx context.Context, job batch.JobKey, from int, wait time.Duration, page jobread.Results) jobread.Results {
 	if page.Verdict != jobread.Found || len(page.Results) > 0 || page.Ended || wait <= 0 {
 		return page
 	}
@@ -252,13 +252,13 @@
 }
 
 // knownResults returns what this node knows of a job, if that suffices.
-func (r *jobReader) knownResults(job batch.Name, from int) (page jobread.Results) {
+func (r *jobReader) knownResults(job batch.JobKey, from int) (page jobread.Results) {
 	r.jobs.ViewKnown(job.ID, joblog.HasPosition(from), func(state *batch.State) { page = pageOf(state, job, from) })
 	return page
 }
 
 // storedResults returns what the store says of a job.
-func (r *jobReader) storedResults(ctx context.Context, job batch.Name, from int) (page jobread.Results) {
+func (r *jobReader) storedResults(ctx context.Context, job batch.JobKey, from int) (page jobread.Results) {
 	err := r.view(ctx, job.ID, joblog.HasPosition(from), func(state *batch.State) { page = pageOf(state, job, from) })
 	if err != nil {
 		r.logger.Warn("batch job not read", zap.String("job", job.ID), zap.Error(err))
@@ -277,8 +277,8 @@
 
 // pageOf returns a job's results from a position on; the state is nil for no such job. To
 // other tenants a job is as if it were not there.
-func pageOf(state *batch.State, job batch.Name, from int) jobread.Results {
-	if state == nil || !state.Is(job) {
+func pageOf(state *batch.State, job batch.JobKey, from int) jobread.Results {
+	if state == nil || !state.Matches(job) {
 		return jobread.Results{Verdict: jobread.Absent}
 	}
 	return jobread.Results{
@@ -331,7 +331,7 @@
 }
 
 // itemBody returns the body of an item that has no result yet.
-func (r *jobReader) itemBody(ctx context.Context, job batch.Name, itemID string) ([]byte, Verdict) {
+func (r *jobReader) itemBody(ctx context.Context, job batch.JobKey, itemID string) ([]byte, Verdict) {
 	body, source := jobread.Body{}, sourceKnown
 	if known := r.jobs.ViewKnown(job.ID, joblog.HasItem(itemID), func(state *batch.State) { body = bodyOf(state, job, itemID) }); !known {
 		if body = r.passBodyOn(ctx, job, itemID); body.Verdict != jobread.NotFollowed {
@@ -346,7 +346,7 @@
 }
 
 // passBodyOn asks the coordinator for a body, if one is known.
-func (r *jobReader) passBodyOn(ctx context.Context, job batch.Name, itemID string) (body jobread.Body) {
+func (r *jobReader) passBodyOn(ctx context.Context, job batch.JobKey, itemID string) (body jobread.Body) {
 	address := r.passOnTo(ctx)
 	if address == "" {
 		return jobread.Body{}
@@ -361,7 +361,7 @@
 	return body
 }
 
-func (r *jobReader) storedBody(ctx context.Context, job batch.Name, itemID string) (body jobread.Body) {
+func (r *jobReader) storedBody(ctx context.Context, job batch.JobKey, itemID string) (body jobread.Body) {
 	err := r.view(ctx, job.ID, joblog.HasItem(itemID), func(state *batch.State) { body = bodyOf(state, job, itemID) })
 	if err != nil {
 		r.logger.Warn("item not read", zap.String("job", job.ID), zap.String("item", itemID), zap.Error(err))
@@ -371,8 +371,8 @@
 }
 
 // bodyOf returns the body of a job's item; the state is nil for no such job.
-func bodyOf(state *batch.State, job batch.Name, itemID string) jobread.Body {
-	if state == nil || !state.Is(job) || state.Item(itemID) == nil || state.Listed(itemID) {
+func bodyOf(state *batch.State, job batch.JobKey, itemID string) jobread.Body {
+	if state == nil || !state.Matches(job) || state.Item(itemID) == nil || state.HasResult(itemID) {
 		return jobread.Body{Verdict: jobread.Absent}
 	}
 	return jobread.Body{Verdict: jobread.Found, Bytes: state.Item(itemID).Body}
--- a/internal/frontend/jobreads_absent_test.go
+++ b/internal/frontend/jobreads_absent_test.go
@@ -16,10 +16,10 @@
 // answers may be that it is not known here, and never that it is not there.
 func checkNotDenied(t *testing.T, node *readerNode, job, item string) {
 	t.Helper()
-	if _, _, verdict := node.results(context.Background(), batch.Name{ID: job}, 0, 0); verdict == VerdictAbsent {
+	if _, _, verdict := node.results(context.Background(), batch.JobKey{ID: job}, 0, 0); verdict == VerdictAbsent {
 		t.Errorf("job %s is said to be absent", job)
 	}
-	if _, verdict := node.itemBody(context.Background(), batch.Name{ID: job}, item); verdict == VerdictAbsent {
+	if _, verdict := node.itemBody(context.Background(), batch.JobKey{ID: job}, item); verdict == VerdictAbsent {
 		t.Errorf("item %s is said to be absent", item)
 	}
 }
@@ -82,7 +82,7 @@
 	checkNotDenied(t, coordinator, "meanwhile", "meanwhile-0")
 	checkNotDenied(t, node, "meanwhile", "meanwhile-0")
 	cut.cut.Store(false)
-	if _, verdict := node.itemBody(context.Background(), batch.Name{ID: "meanwhile"}, "meanwhile-0"); verdict != VerdictDone {
+	if _, verdict := node.itemBody(context.Background(), batch.JobKey{ID: "meanwhile"}, "meanwhile-0"); verdict != VerdictDone {
 		t.Errorf("when the store answers again: %v", verdict)
 	}
 }
@@ -103,7 +103,7 @@
 	for name, reader := range map[string]*readerNode{"coordinator": coordinator, "node": node, "without a coordinator": newReaderNode(t, memory)} {
 		t.Run(name, func(t *testing.T) { checkNotDenied(t, reader, "not indexed", "not indexed-0") })
 	}
-	if body := coordinator.FollowedBody(jobread.BodyQuestion{Job: batch.Name{ID: "not indexed"}, ItemID: "not indexed-0"}); body.Verdict != jobread.Found {
+	if body := coordinator.FollowedBody(jobread.BodyQuestion{Job: batch.JobKey{ID: "not indexed"}, ItemID: "not indexed-0"}); body.Verdict != jobread.Found {
 		t.Errorf("the coordinator: %v", body.Verdict)
 	}
 }
@@ -145,7 +145,7 @@
 			t.Error(err)
 		}
 	}()
-	_, results, verdict := node.results(context.Background(), batch.Name{ID: "job"}, 0, time.Second)
+	_, results, verdict := node.results(context.Background(), batch.JobKey{ID: "job"}, 0, time.Second)
 	if verdict == VerdictDone && len(results) == 0 {
 		t.Error("a position that is there since 1.7 s is said to be empty")
 	}
--- a/internal/frontend/jobreads_bench_test.go
+++ b/internal/frontend/jobreads_bench_test.go
@@ -96,7 +96,7 @@
 		if way == "partition" {
 			node.jobs.Follow(context.Background(), 0)
 		}
-		_, results, verdict := node.results(context.Background(), batch.Name{ID: "job"}, benchItems-10, 0)
+		_, results, verdict := node.results(context.Background(), batch.JobKey{ID: "job"}, benchItems-10, 0)
 		if verdict != VerdictDone || len(results) != 10 {
 			b.Fatalf("%v, %d results", verdict, len(results))
 		}
--- a/internal/frontend/jobreads_builds_test.go
+++ b/internal/frontend/jobreads_builds_test.go
@@ -54,7 +54,7 @@
 }
 
 // appendJobOf accepts a job of a tenant with two items, the first of which has a result.
-func appendJobOf(t *testing.T, memory *storetest.Memory, name batch.Name) {
+func appendJobOf(t *testing.T, memory *storetest.Memory, name batch.JobKey) {
 	t.Helper()
 	items := []batch.Item{{ID: name.ID + "-0"}, {ID: name.ID + "-1", Body: []byte("body")}}
 	records, err := batch.EncodeJob(&batch.Job{ID: name.ID, Tenant: name.Tenant, Items: items})
@@ -75,7 +75,7 @@
 // understand for which one it was asked.
 func TestJobsAreReadBetweenBuilds(t *testing.T) {
 	ctx := context.Background()
-	for _, name := range []batch.Name{{ID: "job"}, {Tenant: "tenant", ID: "job"}} {
+	for _, name := range []batch.JobKey{{ID: "job"}, {Tenant: "tenant", ID: "job"}} {
 		memory := storetest.NewMemory()
 		appendJobOf(t, memory, name)
 		t.Run("this build asks a coordinator of the earlier one, tenant "+name.Tenant, func(t *testing.T) {
@@ -88,7 +88,7 @@
 				if body, verdict := node.itemBody(ctx, name, "job-1"); verdict != VerdictDone || string(body) != "body" {
 					t.Errorf("%s: body %q, %v", what, body, verdict)
 				}
-				if _, _, verdict := node.results(ctx, batch.Name{Tenant: "stranger", ID: name.ID}, 0, 0); verdict == VerdictDone {
+				if _, _, verdict := node.results(ctx, batch.JobKey{Tenant: "stranger", ID: name.ID}, 0, 0); verdict == VerdictDone {
 					t.Errorf("%s: another tenant is given the results", what)
 				}
 			}
--- a/internal/frontend/jobreads_test.go
+++ b/internal/frontend/jobreads_test.go
@@ -131,7 +131,7 @@
 			node := newReaderNode(t, memory)
 			node.observeCoordinator(false, c.address)
 			began := time.Now()
-			total, results, verdict := node.results(context.Background(), batch.Name{ID: "job"}, 1, 0)
+			total, results, verdict := node.results(context.Background(), batch.JobKey{ID: "job"}, 1, 0)
 			if total != 3 || len(results) != 2 || verdict != VerdictDone {
 				t.Errorf("total %d, %d results, %v", total, len(results), verdict)
 			}
@@ -152,7 +152,7 @@
 	appendJob(t, memory, "job-2", 1)
 	node := newReaderNode(t, memory)
 	node.observeCoordinator(false, listen(t).Addr().String())
-	node.results(context.Background(), batch.Name{ID: "job-1"}, 0, 0)
+	node.results(context.Background(), batch.JobKey{ID: "job-1"}, 0, 0)
 	if address := node.answering(); address != "" {
 		t.Errorf("reads are still passed on to %s", address)
 	}
@@ -168,14 +168,14 @@
 	memory := storetest.NewMemory()
 	appendJob(t, memory, "job", 1)
 	node := newReaderNode(t, memory)
-	if _, _, verdict := node.results(context.Background(), batch.Name{ID: "job"}, 0, 0); verdict != VerdictRefused {
+	if _, _, verdict := node.results(context.Background(), batch.JobKey{ID: "job"}, 0, 0); verdict != VerdictRefused {
 		t.Errorf("while a coordinator may come: %v", verdict)
 	}
 	node.seenAt = time.Now().Add(-takeOverTime)
-	if _, results, verdict := node.results(context.Background(), batch.Name{ID: "job"}, 0, 0); verdict != VerdictDone || len(results) != 1 {
+	if _, results, verdict := node.results(context.Background(), batch.JobKey{ID: "job"}, 0, 0); verdict != VerdictDone || len(results) != 1 {
 		t.Errorf("where none comes: %v, %d results", verdict, len(results))
 	}
-	if _, _, verdict := node.results(context.Background(), batch.Name{ID: "no such job"}, 0, 0); verdict != VerdictAbsent {
+	if _, _, verdict := node.results(context.Background(), batch.JobKey{ID: "no such job"}, 0, 0); verdict != VerdictAbsent {
 		t.Errorf("a job that is not there: %v", verdict)
 	}
 }
@@ -188,7 +188,7 @@
 	node.observeCoordinator(false, serve(t, follower))
 	node.failedAt = time.Now().Add(-2 * takeOverTime)
 	node.seenAt = node.failedAt
-	if _, _, verdict := node.results(context.Background(), batch.Name{ID: "job"}, 0, 0); verdict != VerdictRefused {
+	if _, _, verdict := node.results(context.Background(), batch.JobKey{ID: "job"}, 0, 0); verdict != VerdictRefused {
 		t.Errorf("%v", verdict)
 	}
 }
@@ -212,7 +212,7 @@
 	}
 	answered := make(chan int)
 	go func() {
-		_, results, _ := node.results(context.Background(), batch.Name{ID: "later"}, 0, 20*time.Second)
+		_, results, _ := node.results(context.Background(), batch.JobKey{ID: "later"}, 0, 20*time.Second)
 		answered <- len(results)
 	}()
 	time.Sleep(100 * time.Millisecond)
--- a/internal/frontend/product.go
+++ b/internal/frontend/product.go
@@ -108,7 +108,7 @@
 }
 
 // End closes a batch job.
-func (n *Node) End(ctx context.Context, job batch.Name) Verdict {
+func (n *Node) End(ctx context.Context, job batch.JobKey) Verdict {
 	records, err := batch.EncodeEnd(&batch.End{JobID: job.ID, Tenant: job.Tenant})
 	if err != nil {
 		return VerdictRefused
@@ -152,11 +152,11 @@
 }
 
 // Results returns the results of a batch job from a position on.
-func (n *Node) Results(ctx context.Context, job batch.Name, from int, wait time.Duration) (total int, results []batch.Result, verdict Verdict) {
+func (n *Node) Results(ctx context.Context, job batch.JobKey, from int, wait time.Duration) (total int, results []batch.Result, verdict Verdict) {
 	return n.jobReader.results(ctx, job, from, wait)
 }
 
 // ItemBody returns the body of an item that has no result yet.
-func (n *Node) ItemBody(ctx context.Context, job batch.Name, itemID string) (body []byte, verdict Verdict) {
+func (n *Node) ItemBody(ctx context.Context, job batch.JobKey, itemID string) (body []byte, verdict Verdict) {
 	return n.jobReader.itemBody(ctx, job, itemID)
 }
--- a/internal/joblog/reading.go
+++ b/internal/joblog/reading.go
@@ -140,7 +140,7 @@
 		return
 	}
 	for _, record := range read.Records {
-		if p.fold.Between() {
+		if p.fold.AtMessageBoundary() {
 			p.message = record.Offset
 		}
 		change, err := p.fold.Apply(record.Value)
--- a/internal/jobread/jobread.go
+++ b/internal/jobread/jobread.go
@@ -22,7 +22,7 @@
 
 // ResultsQuestion asks for results of a job.
 type ResultsQuestion struct {
-	Job batch.Name
+	Job batch.JobKey
 	// JobID is as LegacyID returns it; AskResults sets it.
 	JobID string
 	// From is the position of the first result wanted.
@@ -63,7 +63,7 @@
 type Results struct {
 	Verdict Verdict
 	// Job is the job that the node looked for; empty in answers of nodes that do not tell.
-	Job batch.Name
+	Job batch.JobKey
 	// Total is the number of the job's items.
 	Total   int
 	Ended   bool
@@ -72,7 +72,7 @@
 
 // BodyQuestion asks for the body of an item.
 type BodyQuestion struct {
-	Job batch.Name
+	Job batch.JobKey
 	// JobID is as LegacyID returns it; AskBody sets it.
 	JobID  string
 	ItemID string
@@ -83,13 +83,13 @@
 type Body struct {
 	Verdict Verdict
 	// Job is the job that the node looked for; empty in answers of nodes that do not tell.
-	Job   batch.Name
+	Job   batch.JobKey
 	Bytes []byte
 }
 
 // LegacyID returns the name of a job for nodes that know no tenants and look for jobs by their ids
 // alone. It is empty for the jobs of a tenant, which such a node would give to everybody.
-func LegacyID(job batch.Name) string {
+func LegacyID(job batch.JobKey) string {
 	if job.Tenant != "" {
 		return ""
 	}
@@ -99,7 +99,7 @@
 // Understood says whether an answer with a verdict is one to a question about a job, where answered is
 // the job that the answer names. A node of a build that reads the question otherwise finds no job, and
 // that must not be taken for the word that there is none.
-func Understood(asked, answered batch.Name, verdict Verdict) bool {
+func Understood(asked, answered batch.JobKey, verdict Verdict) bool {
 	return verdict != Absent || asked == answered
 }
 
@@ -120,11 +120,11 @@
 
 // asked returns the job that a question is about, and whether it names the job as this build does. Nodes
 // that know no tenants name it by its id alone.
-func asked(job batch.Name, legacyID string) (name batch.Name, whole bool) {
+func asked(job batch.JobKey, legacyID string) (name batch.JobKey, whole bool) {
 	if job.ID != "" {
 		return job, true
 	}
-	return batch.Name{ID: legacyID}, false
+	return batch.JobKey{ID: legacyID}, false
 }
 
 // verdictFor returns the verdict for a node that asked for a job, by its whole name or not. One that gives the id
--- a/internal/jobread/jobread_test.go
+++ b/internal/jobread/jobread_test.go
@@ -28,15 +28,15 @@
 // What a node answers arrives whole at the node that asks, with the job that it looked for.
 func TestAnswersArriveWhole(t *testing.T) {
 	address := nodecalltest.Serve(t, func(server *rpc.Server) error { return Register(server, reader{}) })
-	asked := ResultsQuestion{Job: batch.Name{ID: "job"}, From: 7}
+	asked := ResultsQuestion{Job: batch.JobKey{ID: "job"}, From: 7}
 	results, err := AskResults(context.Background(), address, asked)
 	want := reader{}.FollowedResults(asked)
 	want.Job = asked.Job
 	if diff := cmp.Diff(want, results); err != nil || diff != "" {
 		t.Errorf("results: %v, %s", err, diff)
 	}
-	body, err := AskBody(context.Background(), address, BodyQuestion{Job: batch.Name{ID: "job"}, ItemID: "item"})
-	if diff := cmp.Diff(Body{Verdict: Absent, Job: batch.Name{ID: "job"}, Bytes: []byte("jobitem")}, body); err != nil || diff != "" {
+	body, err := AskBody(context.Background(), address, BodyQuestion{Job: batch.JobKey{ID: "job"}, ItemID: "item"})
+	if diff := cmp.Diff(Body{Verdict: Absent, Job: batch.JobKey{ID: "job"}, Bytes: []byte("jobitem")}, body); err != nil || diff != "" {
 		t.Errorf("body: %v, %s", err, diff)
 	}
 }
