--- a/internal/frontend/rewards.go
+++ b/internal/frontend/rewards.go
@@ -37,7 +37,7 @@
 		zap.String("route", send.Route.Name), zap.String("service", send.Service),
 		zap.Int64("configuration", send.Table.Version), zap.Strings("servers", result.Servers),
 		zap.Int("try", send.Inputs.Try), zap.Int("failures", send.Inputs.Failures+result.Failures),
-		zap.Int("under_way", send.Inputs.UnderWay), zap.Int("room", send.Inputs.Room),
+		zap.Int("under_way", send.Inputs.InFlight), zap.Int("room", send.Inputs.Capacity),
 		zap.Duration("waited", send.Inputs.Waited), zap.Duration("took", clock.Since(began)), zap.String("reason", result.Reason))
 	return reward.Answer{Score: result.Signature, Failures: result.Failures}
 }
--- a/internal/reward/bench_test.go
+++ b/internal/reward/bench_test.go
@@ -8,7 +8,7 @@
 	"dalehook/internal/routetable"
 )
 
-// BenchmarkBurst answers a burst of 250 calls on 24 slots, with 350 routes of one host.
+// BenchmarkBurst scores a burst of 250 calls on 24 slots, with 350 routes on one host.
 func BenchmarkBurst(b *testing.B) {
 	routes := []routetable.Route{{
 		Host: "h", Prefix: "/score/", MaxAttempts: 4, Targets: []routetable.Target{{Service: "app", Weight: 1}},
--- a/internal/reward/call.go
+++ b/internal/reward/call.go
@@ -1,9 +1,9 @@
-// Package reward decides when the reward calls of batch items are made. An item of a
-// batch job may name a reward call: a request to a service that scores its text. The
-// score becomes a part of the item's result, which is not listed without it.
+// Package reward schedules the reward calls of batch items. An item of a batch job may have a
+// reward call: a request to a service that scores the item's text. The score is part of the item's
+// result, which is only recorded once the score is known.
 //
-// Queue is a state machine without I/O: inputs are methods with the time, and what is
-// to be sent is returned to the driver.
+// Queue is a state machine without I/O: inputs are method calls with the current time, and the
+// calls to send are returned to the driver.
 package reward
 
 import (
@@ -17,13 +17,12 @@
 type Call struct {
 	ID   string
 	Host string
-	// Path is where the request goes, with its query; with Host it chooses the route.
+	// Path is the request path including the query. Host and Path select the route.
 	Path string
 	Body []byte `json:",omitempty"`
 }
 
-// Equal says whether two calls are the same, so that the score of one is that of the
-// other.
+// Equal reports whether two calls are the same, so that they share a score.
 func (c *Call) Equal(other *Call) bool {
 	if c == nil || other == nil {
 		return c == other
@@ -31,14 +30,14 @@
 	return c.ID == other.ID && c.Host == other.Host && c.Path == other.Path && bytes.Equal(c.Body, other.Body)
 }
 
-// Item names the item of a batch job that a call scores.
+// Item identifies the batch item that a call scores.
 type Item struct {
-	// Tenant is on whose behalf the call is made; empty for nobody's.
+	// Tenant is the tenant that the call is made for, or empty.
 	Tenant        string
 	JobID, ItemID string
 }
 
-// SendID names one send of a call.
+// SendID identifies one send of a call.
 type SendID uint64
 
 // Send asks the driver to make a call.
@@ -46,47 +45,47 @@
 	ID   SendID
 	Item Item
 	Call *Call
-	// Table is the configuration that Route was chosen by.
+	// Table is the configuration that Route belongs to.
 	Table   *routetable.Table
 	Route   *routetable.Route
 	Service string
-	// Deadline is when the servers are to give up.
+	// Deadline is when the servers should give up.
 	Deadline time.Time
 	Inputs   Inputs
 }
 
-// Inputs are what a send went by, for logs.
+// Inputs are the values that a send was based on, for logs.
 type Inputs struct {
-	// Try counts the sends of the call from 1.
+	// Try is the number of sends of the call, including this one.
 	Try int
-	// Failures is the number of answers so far that said that the call failed.
+	// Failures is the number of failure answers to the call so far.
 	Failures int
-	// Waited is the time since the text was whole.
+	// Waited is the time since the text was complete.
 	Waited time.Duration
-	// UnderWay is the number of calls at the service, without this one.
-	UnderWay int
-	// Room is the number of calls that the service takes at once.
-	Room int
+	// InFlight is the number of other calls in flight to the service.
+	InFlight int
+	// Capacity is the maximum number of concurrent calls to the service.
+	Capacity int
 }
 
-// Answer is what a send came to.
+// Answer is the outcome of a send.
 type Answer struct {
-	// Score is empty where the call was not answered with success.
+	// Score is empty if the call was not answered with success.
 	Score string
-	// Failures is the number of servers that answered that the call failed.
+	// Failures is the number of servers that answered with a failure.
 	Failures int
 }
 
-// Verdict is what is known of an item after an answer.
+// Verdict says what an answer means for the item.
 type Verdict int
 
-// The verdicts.
+// Verdicts.
 const (
-	// VerdictNone: the answer changes nothing.
+	// VerdictNone: the answer has no effect.
 	VerdictNone Verdict = iota
 	// VerdictScored: the item has its score.
 	VerdictScored
-	// VerdictRetry: the call is made again.
+	// VerdictRetry: the call will be repeated.
 	VerdictRetry
 	// VerdictDead: the call failed as often as its route allows.
 	VerdictDead
--- a/internal/reward/queue.go
+++ b/internal/reward/queue.go
@@ -6,31 +6,30 @@
 	"dalehook/internal/routetable"
 )
 
-// How calls are made.
+// Limits of reward calls.
 const (
-	// sendTimeout bounds one send. With the age that the knowledge of a job may have
-	// when its calls are sent, it stays below the time after which a job that ended
-	// must cause no more calls.
+	// sendTimeout limits one send. Together with the maximum age of the job data when a call is
+	// sent, it stays below the time after which an ended job must cause no more calls.
 	sendTimeout = time.Second
-	// firstPause is the time between a send without a score and the next; it doubles
-	// up to longestPause.
-	firstPause   = 50 * time.Millisecond
-	longestPause = 400 * time.Millisecond
-	// roomShare is the share of a service's slots that calls may take at once. The
-	// rest is left to the callers of the same servers.
-	roomShare = 0.5
+	// initialBackoff is the delay after the first send without a score. It doubles up to
+	// maxBackoff.
+	initialBackoff = 50 * time.Millisecond
+	maxBackoff     = 400 * time.Millisecond
+	// slotShare is the share of a service's slots that reward calls may use. The rest is left to
+	// other callers of the same servers.
+	slotShare = 0.5
 )
 
-// Queue holds the calls that have no score yet. It is not safe for concurrent use.
+// Queue holds the calls without a score. It is not safe for concurrent use.
 type Queue struct {
 	table *routetable.Table
-	// slots holds the slots of each service's servers.
+	// slots holds the total slots of each service.
 	slots map[string]int
-	// waiting holds the calls that are not under way, the oldest first.
+	// waiting holds the calls that are not in flight, oldest first.
 	waiting  []*pending
 	items    map[Item]*pending
 	sends    map[SendID]*pending
-	underWay map[string]int
+	inFlight map[string]int
 	lastID   SendID
 }
 
@@ -39,23 +38,23 @@
 	item      Item
 	call      *Call
 	partition int
-	// wholeAt is when the item's text was whole.
-	wholeAt  time.Time
-	giveUpAt time.Time
-	tries    int
-	failures int
-	// pause is the time before the next send, which is not before notBefore.
-	pause     time.Duration
+	// completedAt is when the item's text was complete.
+	completedAt time.Time
+	giveUpAt    time.Time
+	sendCount   int
+	failures    int
+	// backoff is the current delay between sends; the next send starts at notBefore or later.
+	backoff   time.Duration
 	notBefore time.Time
-	// route and service are where the call goes by routedBy, nil and empty for nowhere: many
-	// calls may wait, and all are looked at whenever one is answered.
-	route    *routetable.Route
-	service  string
-	routedBy *routetable.Table
-	// send is the send under way, 0 for none, and sentTo the service that it went to.
-	send    SendID
-	sentTo  string
-	removed bool
+	// route and service are the destination according to routeTable; nil and empty if there is
+	// none. They are cached, since many calls may wait and all are checked after each answer.
+	route      *routetable.Route
+	service    string
+	routeTable *routetable.Table
+	// send is the send in flight, or 0, and sentService its destination.
+	send        SendID
+	sentService string
+	removed     bool
 }
 
 // NewQueue returns an empty queue.
@@ -64,32 +63,32 @@
 		slots:    make(map[string]int),
 		items:    make(map[Item]*pending),
 		sends:    make(map[SendID]*pending),
-		underWay: make(map[string]int),
+		inFlight: make(map[string]int),
 	}
 }
 
 // Len returns the number of calls without a score.
 func (q *Queue) Len() int { return len(q.items) }
 
-// HandleTable takes a new configuration.
+// HandleTable applies a new configuration.
 func (q *Queue) HandleTable(table *routetable.Table) { q.table = table }
 
-// HandleSlots takes the slots of the servers that are ready, summed for each service.
+// HandleSlots sets the total slots of the ready servers of each service.
 func (q *Queue) HandleSlots(slots map[string]int) { q.slots = slots }
 
-// Add takes the call of an item whose text is whole. Partition is where the item's job
-// stands; no send begins after giveUpAt, unless it is zero.
+// Add adds the call of an item whose text is complete. partition is the partition of the item's
+// job. No send starts after giveUpAt, unless it is zero.
 func (q *Queue) Add(now time.Time, item Item, call *Call, partition int, giveUpAt time.Time) {
 	if q.items[item] != nil {
 		return
 	}
-	added := &pending{item: item, call: call, partition: partition, wholeAt: now, giveUpAt: giveUpAt}
+	added := &pending{item: item, call: call, partition: partition, completedAt: now, giveUpAt: giveUpAt}
 	q.items[item] = added
 	q.waiting = append(q.waiting, added)
 }
 
-// Remove forgets the call of an item, since its job ended or its result is known. It
-// returns the send under way, 0 for none.
+// Remove removes the call of an item whose job ended or whose result is known. It returns the send
+// in flight, or 0.
 func (q *Queue) Remove(item Item) SendID {
 	removed := q.items[item]
 	if removed == nil {
@@ -100,28 +99,28 @@
 	return removed.send
 }
 
-// Next returns the sends that begin now. Fresh says whether what is known of the jobs
-// in a partition is new enough.
+// Next returns the sends that start now. fresh reports whether a partition was read recently
+// enough to send calls for its jobs.
 func (q *Queue) Next(now time.Time, fresh func(partition int) bool) []Send {
 	var sends []Send
-	left := q.waiting[:0]
+	remaining := q.waiting[:0]
 	for _, next := range q.waiting {
 		if next.removed {
 			continue
 		}
-		send, ok := q.send(now, next, fresh)
+		send, ok := q.startSend(now, next, fresh)
 		if !ok {
-			left = append(left, next)
+			remaining = append(remaining, next)
 			continue
 		}
 		sends = append(sends, send)
 	}
-	clear(q.waiting[len(left):])
-	q.waiting = left
+	clear(q.waiting[len(remaining):])
+	q.waiting = remaining
 	return sends
 }
 
-func (q *Queue) send(now time.Time, next *pending, fresh func(partition int) bool) (Send, bool) {
+func (q *Queue) startSend(now time.Time, next *pending, fresh func(partition int) bool) (Send, bool) {
 	if now.Before(next.notBefore) || !fresh(next.partition) {
 		return Send{}, false
 	}
@@ -130,33 +129,33 @@
 		deadline = next.giveUpAt
 	}
 	q.route(next)
-	room, underWay := q.room(next.service), q.underWay[next.service]
-	if next.route == nil || !now.Before(deadline) || underWay >= room {
+	capacity, inFlight := q.capacity(next.service), q.inFlight[next.service]
+	if next.route == nil || !now.Before(deadline) || inFlight >= capacity {
 		return Send{}, false
 	}
-	if bound := now.Add(next.route.Timeout); next.route.Timeout > 0 && bound.Before(deadline) {
-		deadline = bound
+	if routeDeadline := now.Add(next.route.Timeout); next.route.Timeout > 0 && routeDeadline.Before(deadline) {
+		deadline = routeDeadline
 	}
 	q.lastID++
 	q.sends[q.lastID] = next
-	q.underWay[next.service]++
-	next.send, next.sentTo = q.lastID, next.service
-	next.tries++
+	q.inFlight[next.service]++
+	next.send, next.sentService = q.lastID, next.service
+	next.sendCount++
 	return Send{
 		ID: q.lastID, Item: next.item, Call: next.call, Table: q.table, Route: next.route, Service: next.service,
 		Deadline: deadline,
 		Inputs: Inputs{
-			Try: next.tries, Failures: next.failures, Waited: now.Sub(next.wholeAt), UnderWay: underWay, Room: room,
+			Try: next.sendCount, Failures: next.failures, Waited: now.Sub(next.completedAt), InFlight: inFlight, Capacity: capacity,
 		},
 	}, true
 }
 
-// route finds where a call goes by the configuration in force.
+// route determines the destination of a call from the current configuration.
 func (q *Queue) route(routed *pending) {
-	if q.table == nil || routed.routedBy == q.table {
+	if q.table == nil || routed.routeTable == q.table {
 		return
 	}
-	routed.route, routed.service, routed.routedBy = nil, "", q.table
+	routed.route, routed.service, routed.routeTable = nil, "", q.table
 	route := q.table.MatchTarget(routed.call.Host, routed.call.Path)
 	if route == nil || route.Kind != routetable.KindSafe && route.Kind != routetable.KindUnsafe {
 		return
@@ -166,29 +165,30 @@
 	}
 }
 
-// room returns how many calls a service takes at once.
-func (q *Queue) room(service string) int {
+// capacity returns the maximum number of concurrent calls to a service.
+func (q *Queue) capacity(service string) int {
 	slots := q.slots[service]
 	if slots == 0 {
 		return 0
 	}
-	return max(int(roomShare*float64(slots)), 1)
+	return max(int(slotShare*float64(slots)), 1)
 }
 
-// HandleAnswer takes the end of a send. The item is of use unless the verdict is none.
+// HandleAnswer processes the outcome of a send. The returned item is valid unless the verdict is
+// VerdictNone.
 func (q *Queue) HandleAnswer(now time.Time, id SendID, answer Answer) (Item, Verdict) {
 	answered := q.sends[id]
 	if answered == nil {
 		return Item{}, VerdictNone
 	}
 	delete(q.sends, id)
-	q.underWay[answered.sentTo]--
+	q.inFlight[answered.sentService]--
 	answered.send = 0
 	if answered.removed {
 		return Item{}, VerdictNone
 	}
 	answered.failures += answer.Failures
-	verdict := q.judge(answered, answer)
+	verdict := q.verdict(answered, answer)
 	if verdict == VerdictRetry {
 		q.retry(now, answered)
 		return answered.item, verdict
@@ -197,7 +197,7 @@
 	return answered.item, verdict
 }
 
-func (q *Queue) judge(answered *pending, answer Answer) Verdict {
+func (q *Queue) verdict(answered *pending, answer Answer) Verdict {
 	if answer.Score != "" {
 		return VerdictScored
 	}
@@ -209,7 +209,7 @@
 }
 
 func (q *Queue) retry(now time.Time, answered *pending) {
-	answered.pause = min(max(2*answered.pause, firstPause), longestPause)
-	answered.notBefore = now.Add(answered.pause)
+	answered.backoff = min(max(2*answered.backoff, initialBackoff), maxBackoff)
+	answered.notBefore = now.Add(answered.backoff)
 	q.waiting = append(q.waiting, answered)
 }
--- a/internal/reward/queue_test.go
+++ b/internal/reward/queue_test.go
@@ -8,7 +8,7 @@
 	"dalehook/internal/routetable"
 )
 
-// fixture drives a queue on a clock of its own.
+// fixture drives a queue with a simulated clock.
 type fixture struct {
 	t     *testing.T
 	queue *Queue
@@ -19,12 +19,12 @@
 
 func newFixture(t *testing.T, change func(*routetable.Route)) *fixture {
 	f := &fixture{t: t, queue: NewQueue(), now: time.Unix(1000, 0)}
-	f.route(change)
+	f.setRoute(change)
 	f.queue.HandleSlots(map[string]int{"app": 24, "other": 4})
 	return f
 }
 
-func (f *fixture) route(change func(*routetable.Route)) {
+func (f *fixture) setRoute(change func(*routetable.Route)) {
 	route := routetable.Route{
 		Name: "score", Host: "h", Prefix: "/score/", Kind: routetable.KindSafe, MaxAttempts: 4,
 		Targets: []routetable.Target{{Service: "app", Weight: 1}},
@@ -47,7 +47,7 @@
 	f.sends = append(f.sends, f.queue.Next(f.now, func(int) bool { return !f.stale })...)
 }
 
-func (f *fixture) pass(d time.Duration) {
+func (f *fixture) advance(d time.Duration) {
 	f.now = f.now.Add(d)
 	f.next()
 }
@@ -58,7 +58,7 @@
 	return verdict
 }
 
-func TestACallIsMadeUntilItIsAnswered(t *testing.T) {
+func TestCallIsRetriedUntilScored(t *testing.T) {
 	f := newFixture(t, nil)
 	f.add(1)
 	if len(f.sends) != 1 || f.sends[0].Service != "app" || f.sends[0].Deadline != f.now.Add(sendTimeout) {
@@ -66,34 +66,34 @@
 	}
 	for try := range 5 {
 		if verdict := f.answer(try, Answer{}); verdict != VerdictRetry {
-			t.Fatalf("an answer that was lost: %v", verdict)
+			t.Fatalf("verdict %v for an answer without score or failure", verdict)
 		}
 		if len(f.sends) != try+1 {
-			t.Fatal("sent again without a pause")
+			t.Fatal("sent again without a backoff")
 		}
-		f.pass(longestPause)
+		f.advance(maxBackoff)
 	}
 	if verdict := f.answer(5, Answer{Score: "s", Failures: 1}); verdict != VerdictScored {
 		t.Errorf("verdict %v", verdict)
 	}
 	if f.queue.Len() != 0 {
-		t.Error("a scored item is still held")
+		t.Error("a scored item is still queued")
 	}
 }
 
-func TestACallThatFailsAsOftenAsItsRouteAllowsIsDead(t *testing.T) {
+func TestCallIsDeadAfterMaxAttempts(t *testing.T) {
 	f := newFixture(t, nil)
 	f.add(1)
 	if verdict := f.answer(0, Answer{Failures: 3}); verdict != VerdictRetry {
-		t.Fatalf("after 3 of 4 failures: %v", verdict)
+		t.Fatalf("verdict %v after 3 of 4 failures", verdict)
 	}
-	f.pass(firstPause)
+	f.advance(initialBackoff)
 	if verdict := f.answer(1, Answer{Failures: 1}); verdict != VerdictDead {
-		t.Errorf("after 4 of 4 failures: %v", verdict)
+		t.Errorf("verdict %v after 4 of 4 failures", verdict)
 	}
 }
 
-func TestCallsLeaveRoomForTheServicesOtherCallers(t *testing.T) {
+func TestCallsUseAShareOfTheSlots(t *testing.T) {
 	f := newFixture(t, nil)
 	f.add(250)
 	answered, most := 0, 0
@@ -105,78 +105,78 @@
 		answered++
 	}
 	if answered != 250 || most != 12 {
-		t.Errorf("%d calls sent, %d at once", answered, most)
+		t.Errorf("%d calls sent, at most %d concurrently", answered, most)
 	}
 }
 
-func TestACallWaitsForARoute(t *testing.T) {
+func TestCallWaitsForRoute(t *testing.T) {
 	f := newFixture(t, func(r *routetable.Route) { r.Host = "elsewhere" })
 	f.add(1)
 	if len(f.sends) != 0 {
 		t.Fatal("sent without a route")
 	}
-	f.route(func(r *routetable.Route) { r.Kind = routetable.KindBatch })
-	f.pass(time.Second)
+	f.setRoute(func(r *routetable.Route) { r.Kind = routetable.KindBatch })
+	f.advance(time.Second)
 	if len(f.sends) != 0 {
 		t.Fatal("sent to a route of batch jobs")
 	}
-	f.route(nil)
-	f.pass(time.Second)
+	f.setRoute(nil)
+	f.advance(time.Second)
 	if len(f.sends) != 1 {
-		t.Error("not sent by the new route")
+		t.Error("not sent to the new route")
 	}
 }
 
-func TestARouteThatMovesIsFollowedAtTheNextSend(t *testing.T) {
+func TestRouteChangeAppliesToNextSend(t *testing.T) {
 	f := newFixture(t, nil)
 	f.add(1)
-	f.route(func(r *routetable.Route) { r.Targets[0].Service = "other" })
+	f.setRoute(func(r *routetable.Route) { r.Targets[0].Service = "other" })
 	f.answer(0, Answer{})
-	f.pass(firstPause)
+	f.advance(initialBackoff)
 	if len(f.sends) != 2 || f.sends[1].Service != "other" {
 		t.Fatalf("sends %+v", f.sends)
 	}
-	// The room at both services is free once more.
+	// Both services must have their full capacity again.
 	f.answer(1, Answer{Score: "s"})
 	f.add(3)
 	if got := len(f.sends); got != 4 {
-		t.Errorf("%d sends: a service of 4 slots takes 2 at once", got)
+		t.Errorf("%d sends, want 4: a service with 4 slots has capacity for 2", got)
 	}
 }
 
-func TestNothingIsSentOnOldKnowledge(t *testing.T) {
+func TestNothingIsSentForStalePartition(t *testing.T) {
 	f := newFixture(t, nil)
 	f.stale = true
 	f.add(1)
 	if len(f.sends) != 0 {
-		t.Fatal("sent on old knowledge of the job")
+		t.Fatal("sent on stale job data")
 	}
 	f.stale = false
 	f.next()
 	if len(f.sends) != 1 {
-		t.Error("not sent once the job is known again")
+		t.Error("not sent after the partition was read again")
 	}
 }
 
-func TestWhatIsRemovedIsNotSentAgain(t *testing.T) {
+func TestRemovedCallIsNotSentAgain(t *testing.T) {
 	f := newFixture(t, nil)
 	f.add(13)
 	if len(f.sends) != 12 {
 		t.Fatalf("%d sends", len(f.sends))
 	}
 	if id := f.queue.Remove(f.sends[0].Item); id != f.sends[0].ID {
-		t.Errorf("the send under way is %v", id)
+		t.Errorf("Remove returned send %v", id)
 	}
 	if verdict := f.answer(0, Answer{Score: "late"}); verdict != VerdictNone {
-		t.Errorf("an answer after the job's end: %v", verdict)
+		t.Errorf("verdict %v for an answer after the removal", verdict)
 	}
 	if len(f.sends) != 13 {
-		t.Error("the place of a removed call was not given on")
+		t.Error("the capacity of a removed call was not reused")
 	}
 	waiting := Item{JobID: "j", ItemID: "waiting"}
 	f.queue.Add(f.now, waiting, &Call{ID: "w", Host: "h", Path: "/score/1"}, 0, time.Time{})
 	if id := f.queue.Remove(waiting); id != 0 {
-		t.Errorf("a call that waits has the send %v", id)
+		t.Errorf("Remove returned send %v for a waiting call", id)
 	}
 	f.answer(1, Answer{Score: "s"})
 	for _, send := range f.sends {
@@ -185,7 +185,7 @@
 		}
 	}
 	if verdict := f.answer(1, Answer{Score: "again"}); verdict != VerdictNone {
-		t.Errorf("a second answer: %v", verdict)
+		t.Errorf("verdict %v for a second answer", verdict)
 	}
 }
 
@@ -193,16 +193,16 @@
 	f := newFixture(t, func(r *routetable.Route) { r.Timeout = 300 * time.Millisecond })
 	f.add(1)
 	if got := f.sends[0].Deadline.Sub(f.now); got != 300*time.Millisecond {
-		t.Errorf("the deadline is %v away", got)
+		t.Errorf("deadline %v from now", got)
 	}
 	f.queue.Add(f.now, Item{ItemID: "old"}, &Call{ID: "o", Host: "h", Path: "/score/1"}, 0, f.now.Add(time.Millisecond))
-	f.pass(time.Second)
+	f.advance(time.Second)
 	if len(f.sends) != 1 {
-		t.Error("a call was sent after its item may be given up")
+		t.Error("a call was sent after its item expired")
 	}
 }
 
-func TestEqual(t *testing.T) {
+func TestCallEqual(t *testing.T) {
 	call := Call{ID: "r", Host: "h", Path: "/p", Body: []byte("b")}
 	cases := []struct {
 		name  string
