--- a/internal/placement/group_test.go
+++ b/internal/placement/group_test.go
@@ -24,14 +24,14 @@
 	return view
 }
 
-// groupBySorting is Group as it is defined: go through the ranked members for
-// each rule and take those that fit.
-func groupBySorting(view cluster.View, key string) []cluster.Node {
+// referenceGroup is the definition of Group: for each rule, go through the ranked members and take
+// those that match.
+func referenceGroup(view cluster.View, key string) []cluster.Node {
 	ranked := slices.SortedFunc(slices.Values(view.Members), func(a, b cluster.Node) int {
 		return cmp.Or(cmp.Compare(Score(string(b.ID), key), Score(string(a.ID), key)), cmp.Compare(a.ID, b.ID))
 	})
 	var group []cluster.Node
-	for _, fits := range []func([]cluster.Node, *cluster.Node) bool{newRegion, newZone, newNode} {
+	for _, fits := range []func([]cluster.Node, *cluster.Node) bool{inNewRegion, inNewZone, notInGroup} {
 		for _, node := range ranked {
 			if len(group) < GroupSize && fits(group, &node) {
 				group = append(group, node)
@@ -41,10 +41,10 @@
 	return group
 }
 
-func TestGroupIsTakenByRank(t *testing.T) {
+func TestGroupMatchesReference(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		view, key := drawView(t), rapid.String().Draw(t, "key")
-		if got, want := Group(view, key), groupBySorting(view, key); !slices.Equal(got, want) {
+		if got, want := Group(view, key), referenceGroup(view, key); !slices.Equal(got, want) {
 			t.Fatalf("got %v, want %v", got, want)
 		}
 	})
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -1,6 +1,6 @@
-// Package placement maps keys to nodes by rendezvous hashing: every node that
-// holds the same view computes the same group, and a view that loses or gains
-// one node moves only the keys of that node. All functions are pure.
+// Package placement maps keys to nodes by rendezvous hashing. Every node with the same view
+// computes the same group, and when a view loses or gains a node, only the keys of that node move.
+// All functions are pure.
 package placement
 
 import (
@@ -14,24 +14,22 @@
 // GroupSize is the number of replicas of a key.
 const GroupSize = 3
 
-// SlotCount is the number of slots that Slot spreads keys over.
+// SlotCount is the number of slots that Slot distributes keys over.
 const SlotCount = 4096
 
-// Group returns the replicas of a key in the view, best first: up to GroupSize
-// distinct nodes. It takes one node a zone while there are zones enough, and
-// prefers a region that the group does not have yet as soon as the first member
-// is chosen, so that a group spans regions where the view does. A view with
-// fewer than GroupSize zones gives distinct nodes instead.
+// Group returns the replicas of a key in the view, best first: up to GroupSize distinct nodes. It
+// takes at most one node per zone while there are enough zones. After the first member it prefers
+// a region that is not in the group yet, so that a group spans regions if the view does. In a view
+// with fewer than GroupSize zones, several nodes may share a zone.
 func Group(view cluster.View, key string) []cluster.Node {
 	candidates := scoreAll(view.Members, key)
 	group := make([]cluster.Node, 0, GroupSize)
-	group = take(group, candidates, newRegion)
-	group = take(group, candidates, newZone)
-	return take(group, candidates, newNode)
+	group = fillGroup(group, candidates, inNewRegion)
+	group = fillGroup(group, candidates, inNewZone)
+	return fillGroup(group, candidates, notInGroup)
 }
 
-// Owner returns the node that ranks highest for a key among nodes, and false
-// when there is none.
+// Owner returns the highest ranked node for a key. It returns false if there are no nodes.
 func Owner(nodes []cluster.Node, key string) (cluster.Node, bool) {
 	if len(nodes) == 0 {
 		return cluster.Node{}, false
@@ -50,8 +48,7 @@
 // Slot returns the slot of a key, from 0 to SlotCount-1.
 func Slot(key string) int { return int(xxhash.Sum64String(key) % SlotCount) }
 
-// Score is the rendezvous weight of a holder for a key: the holder with the
-// highest score wins.
+// Score is the rendezvous weight of a holder for a key. The holder with the highest score wins.
 func Score(holder, key string) uint64 {
 	var digest xxhash.Digest
 	digest.Reset()
@@ -61,7 +58,7 @@
 	return digest.Sum64()
 }
 
-// candidate is a member with its score for one key.
+// candidate is a member with its score for a key.
 type candidate struct {
 	node  *cluster.Node
 	score uint64
@@ -75,8 +72,7 @@
 	return candidates
 }
 
-// before reports whether c ranks before other: by falling score, equal scores
-// by id.
+// before reports whether c ranks before other: by descending score, then by ascending ID.
 func (c candidate) before(other candidate) bool {
 	if c.score != other.score {
 		return c.score > other.score
@@ -84,10 +80,10 @@
 	return c.node.ID < other.node.ID
 }
 
-// take adds the best candidates that fit to the group, one after another, until
-// it is full or none fits. A look at all of them for each place is much cheaper
-// than to sort them, as a group has few places.
-func take(group []cluster.Node, candidates []candidate, fits func(group []cluster.Node, node *cluster.Node) bool) []cluster.Node {
+// fillGroup adds the best matching candidates to the group until it is full or none match.
+// Scanning all candidates for each place is much cheaper than sorting them, as a group has few
+// places.
+func fillGroup(group []cluster.Node, candidates []candidate, fits func(group []cluster.Node, node *cluster.Node) bool) []cluster.Node {
 	for len(group) < GroupSize {
 		best := -1
 		for i, next := range candidates {
@@ -103,22 +99,22 @@
 	return group
 }
 
-// newRegion accepts a node whose region and zone the group does not have yet.
-func newRegion(group []cluster.Node, node *cluster.Node) bool {
+// inNewRegion accepts a node whose region and zone are not in the group yet.
+func inNewRegion(group []cluster.Node, node *cluster.Node) bool {
 	return !slices.ContainsFunc(group, func(other cluster.Node) bool {
 		return other.Region == node.Region || sameZone(other, *node)
 	})
 }
 
-// newZone accepts a node whose zone the group does not have yet.
-func newZone(group []cluster.Node, node *cluster.Node) bool {
+// inNewZone accepts a node whose zone is not in the group yet.
+func inNewZone(group []cluster.Node, node *cluster.Node) bool {
 	return !slices.ContainsFunc(group, func(other cluster.Node) bool { return sameZone(other, *node) })
 }
 
-// newNode accepts a node that is not in the group yet.
-func newNode(group []cluster.Node, node *cluster.Node) bool {
+// notInGroup accepts a node that is not in the group yet.
+func notInGroup(group []cluster.Node, node *cluster.Node) bool {
 	return !slices.ContainsFunc(group, func(other cluster.Node) bool { return other.ID == node.ID })
 }
 
-// sameZone reports whether two nodes fail together with their zone.
+// sameZone reports whether two nodes are in the same zone, and therefore fail together with it.
 func sameZone(a, b cluster.Node) bool { return a.Region == b.Region && a.Zone == b.Zone }
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -12,24 +12,24 @@
 	"dalehook/internal/cluster"
 )
 
-// view returns nodes spread evenly over zones, two zones a region.
-func view(nodes, zones int) cluster.View {
-	var made cluster.View
+// evenView returns nodes spread evenly over zones, two zones per region.
+func evenView(nodes, zones int) cluster.View {
+	var view cluster.View
 	for number := range nodes {
 		zone := number % zones
-		made.Members = append(made.Members, cluster.Node{
+		view.Members = append(view.Members, cluster.Node{
 			ID:     cluster.NodeID(fmt.Sprintf("n%03d", number)),
 			Zone:   cluster.ZoneName(fmt.Sprintf("z%d", zone)),
 			Region: cluster.RegionName(fmt.Sprintf("r%d", zone/2)),
 		})
 	}
-	return made
+	return view
 }
 
-func TestGroupTakesOneNodeOfAZoneAndSpansRegions(t *testing.T) {
-	made := view(40, 4)
+func TestGroupHasDistinctZonesAndSpansRegions(t *testing.T) {
+	view := evenView(40, 4)
 	for number := range 500 {
-		group := Group(made, fmt.Sprint("key", number))
+		group := Group(view, fmt.Sprint("key", number))
 		zones, regions := map[cluster.ZoneName]bool{}, map[cluster.RegionName]bool{}
 		for _, node := range group {
 			zones[node.Zone] = true
@@ -41,11 +41,11 @@
 	}
 }
 
-func TestGroupOfFewZonesAndNodes(t *testing.T) {
+func TestGroupWithFewZonesOrNodes(t *testing.T) {
 	for _, test := range []struct{ nodes, zones, members, distinctZones int }{
 		{0, 1, 0, 0}, {1, 1, 1, 1}, {2, 2, 2, 2}, {5, 1, 3, 1}, {6, 2, 3, 2}, {3, 3, 3, 3},
 	} {
-		group := Group(view(test.nodes, test.zones), "key")
+		group := Group(evenView(test.nodes, test.zones), "key")
 		zones, ids := map[cluster.ZoneName]bool{}, map[cluster.NodeID]bool{}
 		for _, node := range group {
 			zones[node.Zone] = true
@@ -57,38 +57,38 @@
 	}
 }
 
-func TestGroupsAreEven(t *testing.T) {
-	made := view(40, 4)
+func TestGroupsAreBalanced(t *testing.T) {
+	view := evenView(40, 4)
 	held := map[cluster.NodeID]int{}
 	const keys = 20_000
 	for number := range keys {
-		for _, node := range Group(made, fmt.Sprint("key", number)) {
+		for _, node := range Group(view, fmt.Sprint("key", number)) {
 			held[node.ID]++
 		}
 	}
-	mean := keys * GroupSize / len(made.Members)
-	for _, node := range made.Members {
+	mean := keys * GroupSize / len(view.Members)
+	for _, node := range view.Members {
 		if held[node.ID] < mean*85/100 || held[node.ID] > mean*115/100 {
 			t.Errorf("%s holds %d keys, the mean is %d", node.ID, held[node.ID], mean)
 		}
 	}
 }
 
-func TestLossOfANodeMovesOnlyItsKeys(t *testing.T) {
+func TestNodeLossMovesOnlyItsKeys(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		made := view(rapid.IntRange(4, 60).Draw(t, "nodes"), rapid.IntRange(1, 5).Draw(t, "zones"))
-		lost := made.Members[rapid.IntRange(0, len(made.Members)-1).Draw(t, "lost")]
-		rest := cluster.View{Members: slices.DeleteFunc(slices.Clone(made.Members), func(n cluster.Node) bool { return n.ID == lost.ID })}
+		view := evenView(rapid.IntRange(4, 60).Draw(t, "nodes"), rapid.IntRange(1, 5).Draw(t, "zones"))
+		lost := view.Members[rapid.IntRange(0, len(view.Members)-1).Draw(t, "lost")]
+		rest := cluster.View{Members: slices.DeleteFunc(slices.Clone(view.Members), func(n cluster.Node) bool { return n.ID == lost.ID })}
 		for number := range 50 {
 			key := fmt.Sprint("key", number)
-			before, after := Group(made, key), Group(rest, key)
+			before, after := Group(view, key), Group(rest, key)
 			if !slices.Contains(before, lost) && !slices.Equal(before, after) {
 				t.Fatalf("key %s moved from %v to %v though %s did not hold it", key, before, after, lost.ID)
 			}
-			owner, _ := Owner(made.Members, key)
+			owner, _ := Owner(view.Members, key)
 			next, _ := Owner(rest.Members, key)
 			if owner != lost && owner != next {
-				t.Fatalf("key %s changed its owner from %s to %s", key, owner.ID, next.ID)
+				t.Fatalf("the owner of key %s changed from %s to %s", key, owner.ID, next.ID)
 			}
 		}
 	})
@@ -99,6 +99,6 @@
 		t.Errorf("slot %d", slot)
 	}
 	if _, found := Owner(nil, "a key"); found {
-		t.Error("an owner among no nodes")
+		t.Error("Owner found a node in an empty list")
 	}
 }
