--- a/internal/gateway/balancer.go
+++ b/internal/gateway/balancer.go
@@ -100,14 +100,14 @@
 	}
 	state := b.state(server.Incarnation())
 	state.inFlight++
-	state.sends.Sent(now)
+	state.sends.Record(now)
 }
 
 // isSaturated says whether this node has sent a server as much within the last second as it may be
 // sent while it warms up.
 func (b *balancer) isSaturated(now time.Time, server *directory.Server, warmUpRate float64) bool {
 	state := b.seen[server.Incarnation()]
-	return state != nil && state.sends.Full(now, slowstart.Most(warmUpRate, server.Slots, now.Before(server.WarmAt)))
+	return state != nil && state.sends.Full(now, slowstart.Limit(warmUpRate, server.Slots, now.Before(server.WarmAt)))
 }
 
 // chooseFirst returns the first server that was not tried and is not avoided, else the first that
--- a/internal/scheduler/assign.go
+++ b/internal/scheduler/assign.go
@@ -215,7 +215,7 @@
 	next.checkpointAt = time.Time{}
 	m.attempts[started.id] = started
 	chosen.attempts[started.id] = started
-	chosen.recentStarts.Sent(now)
+	chosen.recentStarts.Record(now)
 	expected := int64(0)
 	if next.job.route.SingleVersion {
 		expected = chosen.versions[next.job.model]
--- a/internal/scheduler/engines.go
+++ b/internal/scheduler/engines.go
@@ -79,7 +79,7 @@
 // second. An engine that has just started sustains a low rate, and fails when all its slots are
 // refilled repeatedly.
 func (e *engine) atWarmUpLimit(now time.Time) bool {
-	return e.recentStarts.Full(now, slowstart.Most(e.warmUpRate, e.slots, now.Before(e.warmAt)))
+	return e.recentStarts.Full(now, slowstart.Limit(e.warmUpRate, e.slots, now.Before(e.warmAt)))
 }
 
 // discardEngine drops an engine that has restarted: its runs and loads ended with the previous
--- a/internal/slowstart/slowstart.go
+++ b/internal/slowstart/slowstart.go
@@ -1,6 +1,6 @@
-// Package slowstart bounds how many requests a server is sent while it warms up. A server that has
-// just started, or that has lost its caches, bears a rate that its service's configuration
-// tells, and falls over well above that. It does no I/O and reads no clock.
+// Package slowstart limits the requests sent to a server while it warms up. A server that has just
+// started or has lost its caches sustains only the rate in the configuration of its service, and
+// fails well above it. The package does no I/O and reads no clock.
 package slowstart
 
 import (
@@ -8,58 +8,58 @@
 	"time"
 )
 
-// Span is the length of the windows that a rate holds for: it holds in every one.
-const Span = time.Second
+// WindowLength is the length of the sliding window in which a limit applies.
+const WindowLength = time.Second
 
-// Unbounded is the bound of a server whose service tells no rate.
-const Unbounded = math.MaxInt
+// Unlimited is the limit of a server whose service has no warm-up rate.
+const Unlimited = math.MaxInt
 
-// Most returns how many requests a server may be sent within any Span, by the rate a second that its
-// service bears while it warms up (0 for any) and its slots.
+// Limit returns the maximum number of requests to a server within any window. rate is the number
+// of requests per second that the service sustains while it warms up, or 0 if it is not limited.
 //
-// Servers tell with their next heartbeat that they turned slow, a second late or more. So one that is
-// taken to be warm gets no more than one filling of its slots beyond the rate, which is what a
-// scheduler needs to use an idle server at once.
-func Most(rate float64, slots int, warming bool) int {
+// A server reports that it has become slow again with its next heartbeat, a second late or more. A
+// server that is considered warm therefore gets at most its number of slots beyond the rate, which
+// is what a scheduler needs to use an idle server at once.
+func Limit(rate float64, slots int, warming bool) int {
 	if rate <= 0 {
-		return Unbounded
+		return Unlimited
 	}
-	most := max(int(rate), 1)
+	limit := max(int(rate), 1)
 	if !warming {
-		most += slots
+		limit += slots
 	}
-	return most
+	return limit
 }
 
-// Window holds when a server was sent requests. Its zero value holds none. It is not safe for
-// concurrent use.
+// Window records the times of the requests sent to a server. The zero value is an empty window. It
+// is not safe for concurrent use.
 type Window struct {
-	// sends are those of the last Span, and some before, the oldest first.
+	// sends holds the times within the last WindowLength, oldest first. Older ones may remain
+	// until the next eviction.
 	sends []time.Time
 }
 
-// Sent notes a request.
-func (w *Window) Sent(now time.Time) {
-	w.forget(now)
+// Record adds a request sent at now.
+func (w *Window) Record(now time.Time) {
+	w.evict(now)
 	w.sends = append(w.sends, now)
 }
 
-// Full says whether a server that may be sent so many requests within any Span may be sent no more
-// now.
-func (w *Window) Full(now time.Time, most int) bool {
-	if most == Unbounded {
+// Full reports whether a server with the given limit must not be sent another request now.
+func (w *Window) Full(now time.Time, limit int) bool {
+	if limit == Unlimited {
 		return false
 	}
-	w.forget(now)
-	return len(w.sends) >= most
+	w.evict(now)
+	return len(w.sends) >= limit
 }
 
-func (w *Window) forget(now time.Time) {
-	old := 0
-	for old < len(w.sends) && now.Sub(w.sends[old]) >= Span {
-		old++
+func (w *Window) evict(now time.Time) {
+	expired := 0
+	for expired < len(w.sends) && now.Sub(w.sends[expired]) >= WindowLength {
+		expired++
 	}
-	if old > 0 {
-		w.sends = append(w.sends[:0], w.sends[old:]...)
+	if expired > 0 {
+		w.sends = append(w.sends[:0], w.sends[expired:]...)
 	}
 }
--- a/internal/slowstart/slowstart_test.go
+++ b/internal/slowstart/slowstart_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func TestMost(t *testing.T) {
+func TestLimit(t *testing.T) {
 	cases := []struct {
 		name    string
 		rate    float64
@@ -13,37 +13,37 @@
 		warming bool
 		want    int
 	}{
-		{"no rate is told", 0, 8, true, Unbounded},
-		{"it warms up", 7.9, 8, true, 7},
-		{"it may have turned slow just now", 7.9, 8, false, 15},
-		{"one request at least", 0.4, 8, true, 1},
+		{"no rate", 0, 8, true, Unlimited},
+		{"warming up", 7.9, 8, true, 7},
+		{"warm, but possibly slow again", 7.9, 8, false, 15},
+		{"at least one request", 0.4, 8, true, 1},
 	}
 	for _, c := range cases {
-		if got := Most(c.rate, c.slots, c.warming); got != c.want {
+		if got := Limit(c.rate, c.slots, c.warming); got != c.want {
 			t.Errorf("%s: %d, want %d", c.name, got, c.want)
 		}
 	}
 }
 
-// However requests come, no span of a second holds more than may be sent.
-func TestNoSecondHoldsMoreThanMayBeSent(t *testing.T) {
-	const most = 7
+// No window contains more requests than the limit, whatever the arrival times are.
+func TestNoWindowExceedsLimit(t *testing.T) {
+	const limit = 7
 	var window Window
 	var sends []time.Time
 	start := time.Unix(0, 0)
-	for at := start; at.Before(start.Add(10 * time.Second)); at = at.Add(9 * time.Millisecond) {
-		if window.Full(at, most) {
+	for now := start; now.Before(start.Add(10 * time.Second)); now = now.Add(9 * time.Millisecond) {
+		if window.Full(now, limit) {
 			continue
 		}
-		window.Sent(at)
-		sends = append(sends, at)
+		window.Record(now)
+		sends = append(sends, now)
 	}
-	for i := most; i < len(sends); i++ {
-		if sends[i].Sub(sends[i-most]) < Span {
-			t.Fatalf("%d requests within %v", most+1, sends[i].Sub(sends[i-most]))
+	for i := limit; i < len(sends); i++ {
+		if sends[i].Sub(sends[i-limit]) < WindowLength {
+			t.Fatalf("%d requests within %v", limit+1, sends[i].Sub(sends[i-limit]))
 		}
 	}
-	if len(sends) < 10*most {
-		t.Errorf("%d requests in 10 s, though %d a second are borne", len(sends), most)
+	if len(sends) < 10*limit {
+		t.Errorf("%d requests in 10 s, though %d per second are allowed", len(sends), limit)
 	}
 }
