--- a/internal/pause/pause.go
+++ b/internal/pause/pause.go
@@ -1,4 +1,4 @@
-// Package pause waits without outliving a context.
+// Package pause provides a sleep that ends with its context.
 package pause
 
 import (
@@ -6,12 +6,13 @@
 	"time"
 )
 
-// For waits for a length of time. It returns false, early, when the context ends.
-func For(ctx context.Context, length time.Duration) bool {
-	if length <= 0 {
+// For sleeps for the given duration. It returns false, without waiting further, if the context is
+// done.
+func For(ctx context.Context, duration time.Duration) bool {
+	if duration <= 0 {
 		return ctx.Err() == nil
 	}
-	timer := time.NewTimer(length)
+	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
--- a/internal/pause/pause_test.go
+++ b/internal/pause/pause_test.go
@@ -8,11 +8,11 @@
 
 func TestFor(t *testing.T) {
 	if !For(context.Background(), time.Millisecond) || !For(context.Background(), 0) {
-		t.Error("a whole wait was cut")
+		t.Error("For returned false though its context was not done")
 	}
-	ended, end := context.WithCancel(context.Background())
-	end()
-	if For(ended, time.Hour) || For(ended, 0) {
-		t.Error("the wait outlived its context")
+	ctx, cancel := context.WithCancel(context.Background())
+	cancel()
+	if For(ctx, time.Hour) || For(ctx, 0) {
+		t.Error("For returned true though its context was done")
 	}
 }
