--- a/internal/scheduler/attempts.go
+++ b/internal/scheduler/attempts.go
@@ -65,7 +65,7 @@
 func (a *attempt) observe(now time.Time) {
 	a.events++
 	a.lastEventAt = now
-	a.pauseAllowance = 0
+	a.excusedPause = 0
 	a.engine.unresponsiveAt = time.Time{}
 	if a.sampleStart.IsZero() {
 		a.sampleStart = now
@@ -211,11 +211,11 @@
 // bound, late ticks would keep a run on an unresponsive engine.
 func (m *Machine) HandleProcessPause(now time.Time, duration time.Duration) {
 	for _, running := range m.attempts {
-		excused := min(duration, now.Sub(running.lastEventAt), m.options.StallTimeout-running.pauseAllowance)
+		excused := min(duration, now.Sub(running.lastEventAt), m.options.StallTimeout-running.excusedPause)
 		if excused <= 0 {
 			continue
 		}
-		running.pauseAllowance += excused
+		running.excusedPause += excused
 		running.lastEventAt = running.lastEventAt.Add(excused)
 	}
 }
--- a/internal/scheduler/loadwindow.go
+++ b/internal/scheduler/loadwindow.go
@@ -4,7 +4,7 @@
 
 // Parameters of the load window.
 const (
-	// shrinkFactor bounds how far a window shrinks on a slow load.
+	// shrinkFactor is the share of its limit that a window keeps at least when it shrinks.
 	shrinkFactor = 0.75
 	// minConcurrencyShare is the share of the window that must be in use for a slow load to shrink
 	// it. Below it, the load was slow because of its server or the observing node.
--- a/internal/scheduler/machine_test.go
+++ b/internal/scheduler/machine_test.go
@@ -765,6 +765,7 @@
 	}
 }
 
+// Equal inputs must give equal outputs, whatever the iteration order of maps.
 func TestMachineIsDeterministic(t *testing.T) {
 	run := func() []Start {
 		f := newFixture(t, nil)
--- a/internal/scheduler/restart_test.go
+++ b/internal/scheduler/restart_test.go
@@ -16,8 +16,7 @@
 }
 
 // Guards against an engine that crashed and restarted under its ID keeping its believed weights,
-// runs, load in progress and pauses. Engines were identified by their ID alone. Found by reading
-// the code; not observed in a run.
+// runs, load in progress and pauses. Engines were identified by their ID alone.
 func TestRestartedEngineLosesItsState(t *testing.T) {
 	t.Run("weights and runs", func(t *testing.T) {
 		f := newFixture(t, nil)
--- a/internal/scheduler/types.go
+++ b/internal/scheduler/types.go
@@ -255,10 +255,10 @@
 	engine      *engine
 	startedAt   time.Time
 	lastEventAt time.Time
-	// pauseAllowance is the time since the last event that was excused because this process was
+	// excusedPause is the time since the last event that was excused because this process was
 	// paused.
-	pauseAllowance time.Duration
-	events         int
+	excusedPause time.Duration
+	events       int
 	// sampleStart is when the current gap sample of the engine started, and sampleEvents the
 	// number of its events.
 	sampleStart  time.Time
--- a/internal/scheduler/waiting_test.go
+++ b/internal/scheduler/waiting_test.go
@@ -118,9 +118,9 @@
 	}
 }
 
-// runWithUnresponsiveEngines drives a machine whose engines in silent never respond: a run there
-// produces no events and ends only when it is cancelled, and an order fails after one second. It
-// returns the time after which each item started at a responsive engine.
+// runWithUnresponsiveEngines drives a machine in which the unresponsive engines never
+// respond: a run there produces no events and ends only when it is cancelled, and an order fails
+// after one second. It returns the time after which each item started at a responsive engine.
 func runWithUnresponsiveEngines(f *fixture, unresponsive map[string]bool, duration time.Duration) map[string]time.Duration {
 	startedAfter := make(map[string]time.Duration)
 	orderedAt := make(map[string]time.Time)
