--- a/internal/coordinator/load.go
+++ b/internal/coordinator/load.go
@@ -29,7 +29,7 @@
 var errEngineBusy = errors.New("engine is executing another order")
 
 // load executes an order and waits until the engine has loaded the version.
-func (c *Coordinator) load(termCtx context.Context, machine *scheduler.Machine, order scheduler.Order) {
+func (c *Coordinator) load(termCtx context.Context, machine *scheduler.Machine, order scheduler.LoadOrder) {
 	began := clock.Now()
 	ctx, cancel := context.WithTimeout(termCtx, loadTimeout)
 	defer cancel()
@@ -39,13 +39,13 @@
 		zap.Duration("took", clock.Since(began)), zap.Error(err))
 	c.options.Observer.ObserveLoad(err == nil && version >= order.Version)
 	c.withTermScheduler(machine, func(now time.Time) {
-		machine.HandleLoad(now, order.Server, order.Model, scheduler.Load{Ordered: ordered && err == nil, Version: version})
+		machine.HandleLoad(now, order.Server, order.Model, scheduler.LoadResult{Confirmed: ordered && err == nil, Version: version})
 	})
 }
 
 // orderLoad sends a load order if the engine needs one. It returns the engine's version
 // afterwards, 0 if unknown, and whether the engine was seen to execute the order.
-func (c *Coordinator) orderLoad(ctx context.Context, order scheduler.Order) (version int64, ordered bool, err error) {
+func (c *Coordinator) orderLoad(ctx context.Context, order scheduler.LoadOrder) (version int64, ordered bool, err error) {
 	state, err := c.engineState(ctx, order)
 	if err != nil {
 		return 0, false, err
@@ -77,21 +77,21 @@
 }
 
 // mayOrder checks that the lease is still in force, right before an order is sent.
-func (c *Coordinator) mayOrder(order scheduler.Order) bool {
+func (c *Coordinator) mayOrder(order scheduler.LoadOrder) bool {
 	clock.Refresh()
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.machine != nil && !c.resigned && c.lease.Epoch == order.Epoch && clock.Now().Before(c.lease.ExpiresAt)
 }
 
-func (c *Coordinator) engineState(ctx context.Context, order scheduler.Order) (EngineState, error) {
+func (c *Coordinator) engineState(ctx context.Context, order scheduler.LoadOrder) (EngineState, error) {
 	ctx, cancel := context.WithTimeout(ctx, engineCallTimeout)
 	defer cancel()
 	return c.options.Engines.State(ctx, order.Server, order.Model)
 }
 
 // awaitVersion polls the engine until it has the version or is idle without it.
-func (c *Coordinator) awaitVersion(ctx context.Context, order scheduler.Order, delay time.Duration, cause error) (int64, error) {
+func (c *Coordinator) awaitVersion(ctx context.Context, order scheduler.LoadOrder, delay time.Duration, cause error) (int64, error) {
 	for pause.For(ctx, delay) {
 		state, err := c.engineState(ctx, order)
 		if err != nil {
--- a/internal/frontend/jobreads.go
+++ b/internal/frontend/jobreads.go
@@ -164,7 +164,7 @@
 
 // results returns a job's results from a position on. If there are none yet, it polls for up to
 // wait.
-func (r *jobReader) results(ctx context.Context, job batch.Name, from int, wait time.Duration) (total int, results []batch.Result, verdict Verdict) {
+func (r *jobReader) results(ctx context.Context, job batch.JobKey, from int, wait time.Duration) (total int, results []batch.Result, verdict Verdict) {
 	source := sourceLocal
 	page := r.localResults(job, from)
 	if page.Verdict == jobread.Found {
@@ -195,7 +195,7 @@
 
 // forwardResults asks the coordinator, if one is known. It first asks without a wait, so that a
 // dead coordinator is noticed early, and then again as a long poll.
-func (r *jobReader) forwardResults(ctx context.Context, job batch.Name, from int, wait time.Duration) jobread.Results {
+func (r *jobReader) forwardResults(ctx context.Context, job batch.JobKey, from int, wait time.Duration) jobread.Results {
 	address := r.awaitForwardTarget(ctx)
 	if address == "" {
 		return jobread.Results{}
@@ -227,7 +227,7 @@
 
 // understood reports whether the coordinator's answer refers to the job that was asked for. If not,
 // the caller reads the store instead.
-func (r *jobReader) understood(address string, asked, answered batch.Name, verdict jobread.Verdict) bool {
+func (r *jobReader) understood(address string, asked, answered batch.JobKey, verdict jobread.Verdict) bool {
 	if jobread.Conclusive(asked, answered, verdict) {
 		return true
 	}
@@ -243,7 +243,7 @@
 }
 
 // awaitLocalResults waits, for a page without results, until this node's own records have one.
-func (r *jobReader) awaitLocalResults(ctx context.Context, job batch.Name, from int, wait time.Duration, page jobread.Results) jobread.Results {
+func (r *jobReader) awaitLocalResults(ctx context.Context, job batch.JobKey, from int, wait time.Duration, page jobread.Results) jobread.Results {
 	if page.Verdict != jobread.Found || len(page.Results) > 0 || page.Ended || wait <= 0 {
 		return page
 	}
@@ -254,13 +254,13 @@
 }
 
 // localResults returns a job's results from local records, if these suffice.
-func (r *jobReader) localResults(job batch.Name, from int) (page jobread.Results) {
+func (r *jobReader) localResults(job batch.JobKey, from int) (page jobread.Results) {
 	r.jobs.ViewCached(job.ID, joblog.HasPosition(from), func(state *batch.State) { page = resultsPage(state, job, from) })
 	return page
 }
 
 // storedResults reads a job's results from the store.
-func (r *jobReader) storedResults(ctx context.Context, job batch.Name, from int) (page jobread.Results) {
+func (r *jobReader) storedResults(ctx context.Context, job batch.JobKey, from int) (page jobread.Results) {
 	err := r.view(ctx, job.ID, joblog.HasPosition(from), func(state *batch.State) { page = resultsPage(state, job, from) })
 	if err != nil {
 		r.logger.Warn("batch job not read", zap.String("job", job.ID), zap.Error(err))
@@ -280,8 +280,8 @@
 
 // resultsPage returns a job's results from a position on; state is nil if the job doesn't exist. A
 // job of another tenant is reported as absent.
-func resultsPage(state *batch.State, job batch.Name, from int) jobread.Results {
-	if state == nil || !state.Is(job) {
+func resultsPage(state *batch.State, job batch.JobKey, from int) jobread.Results {
+	if state == nil || !state.Matches(job) {
 		return jobread.Results{Verdict: jobread.Absent}
 	}
 	return jobread.Results{
@@ -334,7 +334,7 @@
 }
 
 // itemBody returns the body of an item that has no result yet.
-func (r *jobReader) itemBody(ctx context.Context, job batch.Name, itemID string) ([]byte, Verdict) {
+func (r *jobReader) itemBody(ctx context.Context, job batch.JobKey, itemID string) ([]byte, Verdict) {
 	body, source := jobread.Body{}, sourceLocal
 	if known := r.jobs.ViewCached(job.ID, joblog.HasItem(itemID), func(state *batch.State) { body = lookupBody(state, job, itemID) }); !known {
 		if body = r.forwardBody(ctx, job, itemID); body.Verdict != jobread.NotFollowed {
@@ -349,7 +349,7 @@
 }
 
 // forwardBody asks the coordinator for a body, if one is known.
-func (r *jobReader) forwardBody(ctx context.Context, job batch.Name, itemID string) (body jobread.Body) {
+func (r *jobReader) forwardBody(ctx context.Context, job batch.JobKey, itemID string) (body jobread.Body) {
 	address := r.awaitForwardTarget(ctx)
 	if address == "" {
 		return jobread.Body{}
@@ -364,7 +364,7 @@
 	return body
 }
 
-func (r *jobReader) storedBody(ctx context.Context, job batch.Name, itemID string) (body jobread.Body) {
+func (r *jobReader) storedBody(ctx context.Context, job batch.JobKey, itemID string) (body jobread.Body) {
 	err := r.view(ctx, job.ID, joblog.HasItem(itemID), func(state *batch.State) { body = lookupBody(state, job, itemID) })
 	if err != nil {
 		r.logger.Warn("item not read", zap.String("job", job.ID), zap.String("item", itemID), zap.Error(err))
@@ -374,8 +374,8 @@
 }
 
 // lookupBody returns the body of a job's item; state is nil if the job doesn't exist.
-func lookupBody(state *batch.State, job batch.Name, itemID string) jobread.Body {
-	if state == nil || !state.Is(job) || state.Item(itemID) == nil || state.Listed(itemID) {
+func lookupBody(state *batch.State, job batch.JobKey, itemID string) jobread.Body {
+	if state == nil || !state.Matches(job) || state.Item(itemID) == nil || state.HasResult(itemID) {
 		return jobread.Body{Verdict: jobread.Absent}
 	}
 	return jobread.Body{Verdict: jobread.Found, Bytes: state.Item(itemID).Body}
