--- a/internal/frontend/operatorfollow_test.go
+++ b/internal/frontend/operatorfollow_test.go
@@ -12,17 +12,17 @@
 
 // A coordinator tells the others how far the operator's topic goes in a large fleet alone, and not where nodes refuse
 // keys that they are not sure of.
-func TestWhenACoordinatorTells(t *testing.T) {
+func TestCoordinatorAnnouncesOnlyInLargeFleets(t *testing.T) {
 	cases := []struct {
 		name              string
 		servers           int
 		failClosed, knows bool
 		tells             bool
 	}{
-		{"a large fleet", serverlist.DefaultLargeFleet, false, true, true},
-		{"a small fleet", serverlist.DefaultLargeFleet - 1, false, true, false},
-		{"a large fleet that refuses old keys", serverlist.DefaultLargeFleet, true, true, false},
-		{"a coordinator that has not read it", serverlist.DefaultLargeFleet, false, false, false},
+		{"a large fleet", serverlist.DefaultLargeFleetSize, false, true, true},
+		{"a small fleet", serverlist.DefaultLargeFleetSize - 1, false, true, false},
+		{"a large fleet with fail_closed", serverlist.DefaultLargeFleetSize, true, true, false},
+		{"a coordinator that has not read the topic", serverlist.DefaultLargeFleetSize, false, false, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -34,8 +34,8 @@
 			n := &Node{options: Options{Settings: &Settings{}}, servers: serverlist.New(serverlist.Options{Directory: list}), operatorSource: fanout.NewSource()}
 			n.options.Settings.Access.FailClosed = c.failClosed
 			if c.knows {
-				n.operatorSource.Take([]store.Record{{Offset: 6, Key: "config", Value: make([]byte, fanout.LargeBytes)}}, true, 7)
-				n.operatorSource.NoteAsked(clock.Now())
+				n.operatorSource.Update([]store.Record{{Offset: 6, Key: "config", Value: make([]byte, fanout.LargeBytes)}}, true, 7)
+				n.operatorSource.MarkUpToDate(clock.Now())
 			}
 			news := n.operatorNews()
 			if (news != nil) != c.tells {
