--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -54,7 +54,7 @@
 		return nil, err
 	}
 	machine := core.New(coreOptions(chosen, self))
-	backendOptions := backend.Options{BufferLimit: int64(chosen.Limits.Answer)}
+	backendOptions := backend.Options{BufferLimit: int64(chosen.Limits.MaxResponseSize)}
 	d := &Daemon{
 		self: self,
 		platform: platform.NewClient(platform.Options{
@@ -102,20 +102,20 @@
 		Seed:          xxhash.Sum64String(string(self.ID)) ^ uint64(self.Incarnation),
 		Rollout:       rollout.Limits{MaxWait: limits.MaxWait},
 		Request: request.Options{
-			MostAttempts: limits.Attempts,
+			MostAttempts: limits.MaxAttempts,
 			Deadline:     limits.Deadline,
-			Admission:    admission.Options{QueueSize: limits.Queue, RetryShare: limits.RetryShare},
+			Admission:    admission.Options{QueueSize: limits.MaxQueueLength, RetryShare: limits.RetryShare},
 			KeyLifetime:  limits.KeyLifetime,
-			MostAnswer:   int(limits.Answer),
+			MostAnswer:   int(limits.MaxResponseSize),
 		},
-		Weights: weights.Parameters{StoreLoadsPerSecond: capacity.WeightLoads},
+		Weights: weights.Parameters{StoreLoadsPerSecond: capacity.WeightLoadsPerSecond},
 		Planner: planner.Parameters{
 			ServerSlots:           capacity.ServerSlots,
-			EngineTokensPerSecond: capacity.EngineTokens,
-			StreamTokensPerSecond: capacity.StreamTokens,
+			EngineTokensPerSecond: capacity.EngineTokensPerSecond,
+			StreamTokensPerSecond: capacity.StreamTokensPerSecond,
 			LoadTime:              capacity.LoadTime,
 			LoadMargin:            capacity.LoadMargin,
-			StoreLoadsPerSecond:   capacity.WeightLoads,
+			StoreLoadsPerSecond:   capacity.WeightLoadsPerSecond,
 		},
 		LeaveGrace: limits.LeaveGrace,
 	}
@@ -123,13 +123,13 @@
 
 func apiLimits(limits settings.Limits) api.Limits {
 	return api.Limits{
-		StepBody:    int64(limits.StepBody),
-		ServiceBody: int64(limits.Body),
-		PlanBody:    int64(limits.Body),
+		StepBody:    int64(limits.MaxStepBodySize),
+		ServiceBody: int64(limits.MaxBodySize),
+		PlanBody:    int64(limits.MaxBodySize),
 		Deadline:    limits.Deadline,
 		MaxDeadline: limits.MaxDeadline,
 		MaxWait:     limits.MaxWait,
-		OpenCalls:   limits.OpenCalls,
+		OpenCalls:   limits.MaxOpenCalls,
 	}
 }
 
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -94,12 +94,12 @@
 		ListLag:      time.Second,
 		ServiceTime:  15 * time.Millisecond,
 		Capacity: settings.Capacity{
-			EngineTokens: 800,
-			StreamTokens: 160,
-			ServerSlots:  standin.DefaultConcurrency,
-			LoadTime:     300 * time.Millisecond,
-			LoadMargin:   500 * time.Millisecond,
-			WeightLoads:  30,
+			EngineTokensPerSecond: 800,
+			StreamTokensPerSecond: 160,
+			ServerSlots:           standin.DefaultConcurrency,
+			LoadTime:              300 * time.Millisecond,
+			LoadMargin:            500 * time.Millisecond,
+			WeightLoadsPerSecond:  30,
 		},
 		Workloads: []traffic.Workload{
 			{Trainer: "captions", Steps: 3, Every: 3 * time.Second, Samples: 96, Tokens: 16, LongTokens: 260, MaxTokens: 300, LongEvery: 24, Bound: 1},
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -13,11 +13,12 @@
 	"github.com/go-playground/validator/v10"
 )
 
-// namePattern is what names of nodes, zones and regions consist of.
+// namePattern matches valid names of nodes, zones and regions.
 var namePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$`)
 
-// messages says what is wrong when a rule of the validate tags fails.
-var messages = map[string]string{
+// ruleMessages holds the error message of each validation rule; a verb is
+// replaced by the invalid value.
+var ruleMessages = map[string]string{
 	"required": "is required",
 	"name":     "%q is no name: use letters, digits, '.', '_' and '-', 63 at most",
 	"ip_port":  "%q is no address: write IP:port, such as 127.0.0.1:7001",
@@ -32,15 +33,15 @@
 func newValidator() *validator.Validate {
 	v := validator.New(validator.WithRequiredStructEnabled())
 	v.RegisterTagNameFunc(func(member reflect.StructField) string { return member.Tag.Get("koanf") })
-	register(v, "name", namePattern.MatchString)
-	register(v, "ip_port", isAddress)
-	register(v, "base_url", isBaseURL)
+	registerRule(v, "name", namePattern.MatchString)
+	registerRule(v, "ip_port", isAddress)
+	registerRule(v, "base_url", isBaseURL)
 	return v
 }
 
-func register(v *validator.Validate, rule string, holds func(string) bool) {
+func registerRule(v *validator.Validate, rule string, isValid func(string) bool) {
 	err := v.RegisterValidation(rule, func(field validator.FieldLevel) bool {
-		return holds(field.Field().String())
+		return isValid(field.Field().String())
 	})
 	if err != nil {
 		panic(fmt.Sprintf("settings: register rule %s: %v", rule, err))
@@ -60,118 +61,121 @@
 	return parsed.Scheme == "http" && parsed.Host != "" && parsed.Path == "" && parsed.RawQuery == ""
 }
 
-// check adds the faults of the merged settings to those of reading them.
-func (r *reader) check(path string, settings Settings) {
+// validate checks the merged settings and records their errors.
+func (l *loader) validate(path string, settings Settings) {
 	if failures, ok := newValidator().Struct(settings).(validator.ValidationErrors); ok {
 		for _, failure := range failures {
-			r.checkFailed(path, failure)
+			l.addValidationFailure(path, failure)
 		}
 	}
-	r.checkZone(settings)
-	r.checkDuplicates("zones", textsOf(settings.Zones))
-	r.checkDuplicates("peers", settings.Peers)
-	r.checkPorts(settings)
-	r.checkAdvertised(settings)
+	l.validateZone(settings)
+	l.validateUnique("zones", toStrings(settings.Zones))
+	l.validateUnique("peers", settings.Peers)
+	l.validatePorts(settings)
+	l.validateAdvertised(settings)
 }
 
-func (r *reader) checkFailed(path string, failure validator.FieldError) {
+func (l *loader) addValidationFailure(path string, failure validator.FieldError) {
 	_, key, _ := strings.Cut(failure.Namespace(), ".")
-	if r.faults.has(key) {
+	if l.errors.hasKey(key) {
 		return
 	}
-	origin := r.originOf(key)
+	origin := l.originOf(key)
 	if origin == (Origin{}) {
 		origin.Source = path
 	}
-	message := messages[failure.Tag()]
+	message := ruleMessages[failure.Tag()]
 	if strings.Contains(message, "%") {
 		message = fmt.Sprintf(message, failure.Value())
 	}
-	r.fault(origin, key, message)
+	l.addError(origin, key, message)
 }
 
-func (r *reader) checkZone(settings Settings) {
+func (l *loader) validateZone(settings Settings) {
 	const key = "node.zone"
-	if settings.Node.Zone == "" || len(settings.Zones) == 0 || r.faults.has(key) {
+	if settings.Node.Zone == "" || len(settings.Zones) == 0 || l.errors.hasKey(key) {
 		return
 	}
 	if slices.Contains(settings.Zones, settings.Node.Zone) {
 		return
 	}
-	message := fmt.Sprintf("zone %q is not among zones (%s)", settings.Node.Zone, strings.Join(textsOf(settings.Zones), ", "))
-	r.fault(r.originOf(key), key, message)
+	message := fmt.Sprintf("zone %q is not among zones (%s)", settings.Node.Zone, strings.Join(toStrings(settings.Zones), ", "))
+	l.addError(l.originOf(key), key, message)
 }
 
-func (r *reader) checkDuplicates(key string, items []string) {
+func (l *loader) validateUnique(key string, items []string) {
 	for i, item := range items {
 		first := slices.Index(items, item)
 		if first == i {
 			continue
 		}
 		element := elementKey(key, strconv.Itoa(i))
-		r.fault(r.originOf(element), element, fmt.Sprintf("%q is listed already as %s", item, elementKey(key, strconv.Itoa(first))))
+		l.addError(l.originOf(element), element, fmt.Sprintf("%q is listed already as %s", item, elementKey(key, strconv.Itoa(first))))
 	}
 }
 
-// addressUse is an address that is meant for one server only.
-type addressUse struct {
+// keyedAddress is an address with the settings key that it comes from.
+type keyedAddress struct {
 	key     string
 	address netip.AddrPort
 }
 
-// checkPorts refuses a listening port that another server uses already: the
-// node's other listener, or a service of the platform on the same address.
-func (r *reader) checkPorts(settings Settings) {
-	platform := parseUses([]addressText{
+// validatePorts rejects a listening port that is already in use by the node's
+// other listener, or by a platform service on the same address.
+func (l *loader) validatePorts(settings Settings) {
+	platformAddresses := parseAddresses([]unparsedAddress{
 		{"platform.log", strings.TrimPrefix(string(settings.Platform.Log), "http://")},
 		{"platform.weights", strings.TrimPrefix(string(settings.Platform.Weights), "http://")},
 		{"platform.machines", strings.TrimPrefix(string(settings.Platform.Machines), "http://")},
 	})
-	listeners := parseUses([]addressText{
+	listeners := parseAddresses([]unparsedAddress{
 		{"listen.client", settings.Listen.Client},
 		{"listen.peer", settings.Listen.Peer},
 	})
-	for i, use := range listeners {
-		same := func(other addressUse) bool { return other.address == use.address && use.address.Port() != 0 }
-		used := slices.IndexFunc(platform, same)
-		if used >= 0 {
-			r.portUsed(use, platform[used])
+	for i, listener := range listeners {
+		same := func(other keyedAddress) bool {
+			return other.address == listener.address && listener.address.Port() != 0
 		}
-		if i > 0 && collide(listeners[0].address, use.address) {
-			r.portUsed(use, listeners[0])
+		conflict := slices.IndexFunc(platformAddresses, same)
+		if conflict >= 0 {
+			l.addPortConflict(listener, platformAddresses[conflict])
+		}
+		if i > 0 && conflicts(listeners[0].address, listener.address) {
+			l.addPortConflict(listener, listeners[0])
 		}
 	}
 }
 
-func (r *reader) portUsed(use, by addressUse) {
-	r.fault(r.originOf(use.key), use.key, fmt.Sprintf("port %d is used already by %s", use.address.Port(), by.key))
+func (l *loader) addPortConflict(listener, other keyedAddress) {
+	l.addError(l.originOf(listener.key), listener.key, fmt.Sprintf("port %d is used already by %s", listener.address.Port(), other.key))
 }
 
-type addressText struct{ key, text string }
+type unparsedAddress struct{ key, text string }
 
-// parseUses leaves out what is no address; that is reported elsewhere.
-func parseUses(texts []addressText) []addressUse {
-	var uses []addressUse
+// parseAddresses skips invalid addresses; the ip_port and base_url rules report
+// them.
+func parseAddresses(texts []unparsedAddress) []keyedAddress {
+	var addresses []keyedAddress
 	for _, text := range texts {
 		address, err := netip.ParseAddrPort(text.text)
 		if err == nil {
-			uses = append(uses, addressUse{key: text.key, address: address})
+			addresses = append(addresses, keyedAddress{key: text.key, address: address})
 		}
 	}
-	return uses
+	return addresses
 }
 
-// collide reports whether two listeners on the addresses would be in each
-// other's way. Port 0 takes a free port and is in nobody's way.
-func collide(a, b netip.AddrPort) bool {
+// conflicts reports whether two listeners can't be bound to both addresses at
+// once. Port 0 binds a free port and never conflicts.
+func conflicts(a, b netip.AddrPort) bool {
 	if a.Port() != b.Port() || a.Port() == 0 {
 		return false
 	}
 	return a.Addr() == b.Addr() || a.Addr().IsUnspecified() || b.Addr().IsUnspecified()
 }
 
-// checkAdvertised refuses addresses that others can't dial.
-func (r *reader) checkAdvertised(settings Settings) {
+// validateAdvertised rejects advertised and peer addresses that can't be dialed.
+func (l *loader) validateAdvertised(settings Settings) {
 	pairs := []struct{ name, listen, advertise string }{
 		{"client", settings.Listen.Client, settings.Advertise.Client},
 		{"peer", settings.Listen.Peer, settings.Advertise.Peer},
@@ -180,32 +184,32 @@
 		key := "advertise." + pair.name
 		listen, err := netip.ParseAddrPort(pair.listen)
 		if err == nil && listen.Addr().IsUnspecified() && pair.advertise == "" {
-			r.fault(r.originOf("listen."+pair.name), key, "is required when listen."+pair.name+" names no single IP")
+			l.addError(l.originOf("listen."+pair.name), key, "is required when listen."+pair.name+" names no single IP")
 		}
-		r.checkDialable(key, pair.advertise)
+		l.validateDialable(key, pair.advertise)
 	}
 	for i, peer := range settings.Peers {
-		r.checkDialable(elementKey("peers", strconv.Itoa(i)), peer)
+		l.validateDialable(elementKey("peers", strconv.Itoa(i)), peer)
 	}
 	if settings.Advertise.Client != "" && settings.Advertise.Client == settings.Advertise.Peer {
-		r.fault(r.originOf("advertise.peer"), "advertise.peer", "port is used already by advertise.client")
+		l.addError(l.originOf("advertise.peer"), "advertise.peer", "port is used already by advertise.client")
 	}
 }
 
-func (r *reader) checkDialable(key, text string) {
+func (l *loader) validateDialable(key, text string) {
 	address, err := netip.ParseAddrPort(text)
 	if err != nil {
 		return
 	}
 	if address.Port() == 0 || address.Addr().IsUnspecified() {
-		r.fault(r.originOf(key), key, fmt.Sprintf("%q can't be dialled: it needs an IP and a port", text))
+		l.addError(l.originOf(key), key, fmt.Sprintf("%q can't be dialled: it needs an IP and a port", text))
 	}
 }
 
-func textsOf[T ~string](values []T) []string {
-	texts := make([]string, len(values))
+func toStrings[T ~string](values []T) []string {
+	converted := make([]string, len(values))
 	for i, value := range values {
-		texts[i] = string(value)
+		converted[i] = string(value)
 	}
-	return texts
+	return converted
 }
--- a/internal/settings/field.go
+++ b/internal/settings/field.go
@@ -9,44 +9,45 @@
 	"github.com/rotisserie/eris"
 )
 
-// kind says how the value of a field is written.
-type kind int
+// valueKind is the syntax of a field's value.
+type valueKind int
 
 const (
-	kindText kind = iota + 1
+	kindString valueKind = iota + 1
 	kindList
 	kindDuration
 	kindSize
 	kindInteger
-	kindNumber
+	kindFloat
 )
 
-// Field is one key of the settings.
+// Field describes one settings key.
 type Field struct {
 	// Key is the dotted key.
 	Key string
-	// Help says in a few words what the key is for.
+	// Help is the flag's help text.
 	Help string
-	kind kind
+	kind valueKind
 }
 
-// Variable returns the name of the environment variable for the key.
-func (f Field) Variable() string {
-	return variablePrefix + strings.ToUpper(strings.ReplaceAll(f.Key, ".", "_"))
+// EnvironmentVariable returns the name of the environment variable that sets
+// the key.
+func (f Field) EnvironmentVariable() string {
+	return environmentPrefix + strings.ToUpper(strings.ReplaceAll(f.Key, ".", "_"))
 }
 
-// variablePrefix starts the name of each environment variable that is read.
-const variablePrefix = "DALEHOOK_"
+// environmentPrefix is the prefix of all environment variables that are read.
+const environmentPrefix = "DALEHOOK_"
 
-// Fields lists all keys in the order of Settings.
+// Fields lists all keys in declaration order.
 func Fields() []Field {
 	return fieldsOf(reflect.TypeFor[Settings](), "")
 }
 
-func fieldsOf(structure reflect.Type, prefix string) []Field {
+func fieldsOf(structType reflect.Type, prefix string) []Field {
 	var fields []Field
-	for i := range structure.NumField() {
-		member := structure.Field(i)
+	for i := range structType.NumField() {
+		member := structType.Field(i)
 		key := prefix + member.Tag.Get("koanf")
 		if member.Type.Kind() == reflect.Struct {
 			fields = append(fields, fieldsOf(member.Type, key+".")...)
@@ -57,7 +58,7 @@
 	return fields
 }
 
-func kindOf(member reflect.Type) kind {
+func kindOf(member reflect.Type) valueKind {
 	switch member {
 	case reflect.TypeFor[time.Duration]():
 		return kindDuration
@@ -70,13 +71,13 @@
 	case reflect.Int:
 		return kindInteger
 	case reflect.Float64:
-		return kindNumber
+		return kindFloat
 	}
-	return kindText
+	return kindString
 }
 
-// parseScalar reads one value as its kind demands.
-func parseScalar(kind kind, text string) (any, error) {
+// parseScalar parses a value of the given kind.
+func parseScalar(kind valueKind, text string) (any, error) {
 	switch kind {
 	case kindDuration:
 		return parseDuration(text)
@@ -84,8 +85,8 @@
 		return parseSize(text)
 	case kindInteger:
 		return parseInteger(text)
-	case kindNumber:
-		return parseNumber(text)
+	case kindFloat:
+		return parseFloat(text)
 	}
 	return text, nil
 }
@@ -101,7 +102,8 @@
 	return value, nil
 }
 
-// sizeUnits holds the units of a size, longest first since all end in "B".
+// sizeUnits holds the suffixes of a size. "B" comes last because every suffix
+// ends in it.
 var sizeUnits = []struct {
 	suffix string
 	bytes  int64
@@ -135,7 +137,7 @@
 	return value, nil
 }
 
-func parseNumber(text string) (float64, error) {
+func parseFloat(text string) (float64, error) {
 	value, err := strconv.ParseFloat(text, 64)
 	if err != nil {
 		return 0, eris.Errorf("%q is no number", text)
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -6,33 +6,33 @@
 	"github.com/rotisserie/eris"
 )
 
-// keyDelimiter joins nested keys.
+// keyDelimiter separates the parts of a nested key.
 const keyDelimiter = "."
 
-// Load reads, merges and checks the settings. Wrong settings are returned as
-// Faults with everything that was found; any other error says that the file
-// could not be read.
+// Load reads, merges and validates the settings. Invalid settings return
+// FieldErrors with all problems found; any other error means that the file
+// could not be read or the values not merged.
 func Load(options Options) (Settings, error) {
-	r := newReader()
+	l := newLoader()
 	if options.Path != "" {
-		if err := r.readFile(options.Path); err != nil {
+		if err := l.readFile(options.Path); err != nil {
 			return Settings{}, err
 		}
 	}
-	r.readEnvironment(options.Environ)
-	r.readFlags(options.Flags)
+	l.readEnvironment(options.Environ)
+	l.readFlags(options.Flags)
 
 	settings := Default()
 	merged := koanf.New(keyDelimiter)
-	if err := merged.Load(confmap.Provider(r.values, keyDelimiter), nil); err != nil {
+	if err := merged.Load(confmap.Provider(l.values, keyDelimiter), nil); err != nil {
 		return Settings{}, eris.Wrap(err, "merge settings")
 	}
 	if err := merged.Unmarshal("", &settings); err != nil {
 		return Settings{}, eris.Wrap(err, "decode settings")
 	}
-	r.check(options.Path, settings)
-	if len(r.faults) > 0 {
-		return Settings{}, r.faults.sorted()
+	l.validate(options.Path, settings)
+	if len(l.errors) > 0 {
+		return Settings{}, l.errors.sorted()
 	}
 	return settings, nil
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -29,24 +29,24 @@
 	want.Listen = Addresses{Client: "127.0.0.1:7101", Peer: "127.0.0.1:7201"}
 	want.Peers = []string{"127.0.0.1:7301", "127.0.0.1:7302"}
 	want.Platform = Platform{Log: "http://127.0.0.1:7001", Weights: "http://127.0.0.1:7001", Machines: "http://127.0.0.1:7001"}
-	want.Limits.Body = 4 << 20
+	want.Limits.MaxBodySize = 4 << 20
 	want.Limits.Deadline = 10 * time.Second
 	want.Limits.MaxWait = 20 * time.Second
-	want.Capacity.EngineTokens = 800.5
+	want.Capacity.EngineTokensPerSecond = 800.5
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Errorf("settings differ (-want +got):\n%s", diff)
 	}
 }
 
-func TestLoadReportsAllFaultsOfAFile(t *testing.T) {
+func TestLoadReportsAllErrorsOfAFile(t *testing.T) {
 	_, err := Load(Options{Path: "testdata/faulty.yaml"})
 	if err == nil {
-		t.Fatal("faulty settings were taken")
+		t.Fatal("Load accepted invalid settings")
 	}
 	goldie.New(t).Assert(t, "faulty", []byte(err.Error()+"\n"))
 }
 
-func TestLoadNamesTheSourceOfAFault(t *testing.T) {
+func TestLoadNamesTheSourceOfAnError(t *testing.T) {
 	tests := []struct {
 		name    string
 		options Options
@@ -89,10 +89,10 @@
 			test.options.Path = "testdata/good.yaml"
 			_, err := Load(test.options)
 			if err == nil {
-				t.Fatal("faulty settings were taken")
+				t.Fatal("Load accepted invalid settings")
 			}
 			if diff := cmp.Diff(test.want, err.Error()); diff != "" {
-				t.Errorf("faults differ (-want +got):\n%s", diff)
+				t.Errorf("errors differ (-want +got):\n%s", diff)
 			}
 		})
 	}
@@ -104,7 +104,7 @@
 		t.Fatal(err)
 	}
 	_, err := Load(Options{Path: path})
-	if _, ok := err.(Faults); !ok {
-		t.Fatalf("got %v, want Faults", err)
+	if _, ok := err.(FieldErrors); !ok {
+		t.Fatalf("got %v, want FieldErrors", err)
 	}
 }
