--- a/internal/gateway/balancer.go
+++ b/internal/gateway/balancer.go
@@ -103,14 +103,14 @@
 	}
 	state := b.state(server.Incarnation())
 	state.inFlight++
-	state.recentSends.Sent(now)
+	state.recentSends.Record(now)
 }
 
 // isRateLimited reports whether this node sent a server as many requests within the last second as
 // slowstart.Most allows.
 func (b *balancer) isRateLimited(now time.Time, server *directory.Server, warmUpRate float64) bool {
 	state := b.states[server.Incarnation()]
-	return state != nil && state.recentSends.Full(now, slowstart.Most(warmUpRate, server.Slots, now.Before(server.WarmAt)))
+	return state != nil && state.recentSends.Full(now, slowstart.Limit(warmUpRate, server.Slots, now.Before(server.WarmAt)))
 }
 
 // chooseInOrder returns the first untried server that is not in backoff, else the first untried
--- a/internal/jobread/jobread_test.go
+++ b/internal/jobread/jobread_test.go
@@ -28,15 +28,15 @@
 // Answers are transferred without loss and name the job that was looked up.
 func TestAnswersArriveComplete(t *testing.T) {
 	address := nodecalltest.Serve(t, func(server *rpc.Server) error { return Register(server, echoReader{}) })
-	request := ResultsRequest{Job: batch.Name{ID: "job"}, From: 7}
+	request := ResultsRequest{Job: batch.JobKey{ID: "job"}, From: 7}
 	results, err := RequestResults(context.Background(), address, request)
 	want := echoReader{}.FollowedResults(request)
 	want.Job = request.Job
 	if diff := cmp.Diff(want, results); err != nil || diff != "" {
 		t.Errorf("results: %v, %s", err, diff)
 	}
-	body, err := RequestBody(context.Background(), address, BodyRequest{Job: batch.Name{ID: "job"}, ItemID: "item"})
-	if diff := cmp.Diff(Body{Verdict: Absent, Job: batch.Name{ID: "job"}, Bytes: []byte("jobitem")}, body); err != nil || diff != "" {
+	body, err := RequestBody(context.Background(), address, BodyRequest{Job: batch.JobKey{ID: "job"}, ItemID: "item"})
+	if diff := cmp.Diff(Body{Verdict: Absent, Job: batch.JobKey{ID: "job"}, Bytes: []byte("jobitem")}, body); err != nil || diff != "" {
 		t.Errorf("body: %v, %s", err, diff)
 	}
 }
