--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -55,7 +55,7 @@
 	// MaxStepBodySize is the largest accepted body of a step.
 	MaxStepBodySize Size `koanf:"step_body" validate:"gt=0" help:"largest body of a step"`
 	// MaxResponseSize is the largest backend response that the node buffers.
-	// The recorded response of a non-idempotent request is buffered as a whole.
+	// The recorded response of an unrepeatable request is buffered as a whole.
 	MaxResponseSize Size `koanf:"answer" validate:"gt=0" help:"largest buffered answer of a back end"`
 	// MaxOpenCalls is the maximum number of concurrent calls of all kinds.
 	MaxOpenCalls int `koanf:"open_calls" validate:"gt=0" help:"calls of any kind that may be open"`
@@ -68,11 +68,11 @@
 	MaxWait time.Duration `koanf:"max_wait" validate:"gt=0" help:"longest wait of a read of samples"`
 	// RetryShare is the retry budget: the ratio of retries to first attempts.
 	RetryShare float64 `koanf:"retry_share" validate:"gte=0,lte=1" help:"retries as a share of first attempts"`
-	// MaxAttempts is the maximum number of attempts of an idempotent request.
+	// MaxAttempts is the maximum number of attempts of a repeatable request.
 	MaxAttempts int `koanf:"attempts" validate:"gt=0" help:"how often one repeatable request is sent"`
 	// MaxQueueLength is the maximum number of requests queued for one service.
 	MaxQueueLength int `koanf:"queue" validate:"gt=0" help:"requests to one service that may wait"`
-	// KeyLifetime is how long the outcome of a non-idempotent request is kept
+	// KeyLifetime is how long the outcome of an unrepeatable request is kept
 	// under its idempotency key.
 	KeyLifetime time.Duration `koanf:"key_lifetime" validate:"gt=0" help:"how long the outcome of an unrepeatable request is kept"`
 	// LeaveGrace is how long a leaving node still accepts requests from callers
