--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,5 +1,5 @@
-// Package daemon assembles one node from its settings: listeners, clients of
-// the outside, the state machines and their driver.
+// Package daemon assembles a node from its settings: listeners, platform and
+// backend clients, the state machines and their driver.
 package daemon
 
 import (
@@ -23,14 +23,14 @@
 	"dalehook/internal/weights"
 )
 
-// leaveAllowance is the time that a planned stop may take besides its grace and
-// the longest deadline of a call.
-const leaveAllowance = time.Minute
+// leaveTimeoutMargin is added to the leave grace and the longest call deadline to
+// get the timeout of a planned stop.
+const leaveTimeoutMargin = time.Minute
 
 // Options configure a Daemon.
 type Options struct {
 	Settings settings.Settings
-	// Logger takes the logs of all parts; nil for none.
+	// Logger receives the log entries of all components; nil discards them.
 	Logger *zap.Logger
 }
 
@@ -43,24 +43,25 @@
 	services *backend.ServiceClient
 }
 
-// New opens the listeners and assembles the node. Nothing runs before Run.
+// New opens the listeners and assembles the node. The node doesn't run until Run
+// is called.
 func New(options Options) (*Daemon, error) {
-	chosen := options.Settings
+	config := options.Settings
 	if options.Logger == nil {
 		options.Logger = zap.NewNop()
 	}
-	listeners, self, err := node.Listen(selfOf(chosen), chosen.Listen.Client, chosen.Listen.Peer)
+	listeners, self, err := node.Listen(configuredNode(config), config.Listen.Client, config.Listen.Peer)
 	if err != nil {
 		return nil, err
 	}
-	machine := core.New(coreOptions(chosen, self))
-	backendOptions := backend.Options{BufferLimit: int64(chosen.Limits.MaxResponseSize)}
+	machine := core.New(coreOptions(config, self))
+	backendOptions := backend.Options{BufferLimit: int64(config.Limits.MaxResponseSize)}
 	d := &Daemon{
 		self: self,
 		platform: platform.NewClient(platform.Options{
-			LogURL:      string(chosen.Platform.Log),
-			MachinesURL: string(chosen.Platform.Machines),
-			WeightsURL:  string(chosen.Platform.Weights),
+			LogURL:      string(config.Platform.Log),
+			MachinesURL: string(config.Platform.Machines),
+			WeightsURL:  string(config.Platform.Weights),
 		}),
 		engines:  backend.NewEngineClient(backendOptions),
 		services: backend.NewServiceClient(backendOptions),
@@ -74,31 +75,32 @@
 		Machines:     d.platform,
 		Engines:      d.engines,
 		Services:     d.services,
-		Limits:       apiLimits(chosen.Limits),
+		Limits:       apiLimits(config.Limits),
 		Logger:       options.Logger,
-		LeaveTimeout: chosen.Limits.LeaveGrace + chosen.Limits.MaxDeadline + leaveAllowance,
+		LeaveTimeout: config.Limits.LeaveGrace + config.Limits.MaxDeadline + leaveTimeoutMargin,
 	})
 	return d, nil
 }
 
-// selfOf returns the node's identity as far as the settings state it.
-func selfOf(chosen settings.Settings) cluster.Node {
+// configuredNode returns the node's identity from the settings. node.Listen
+// completes it.
+func configuredNode(config settings.Settings) cluster.Node {
 	return cluster.Node{
-		ID:            chosen.Node.ID,
-		Zone:          chosen.Node.Zone,
-		Region:        chosen.Node.Region,
-		ClientAddress: chosen.Advertise.Client,
-		PeerAddress:   chosen.Advertise.Peer,
+		ID:            config.Node.ID,
+		Zone:          config.Node.Zone,
+		Region:        config.Node.Region,
+		ClientAddress: config.Advertise.Client,
+		PeerAddress:   config.Advertise.Peer,
 	}
 }
 
-// coreOptions returns the options of the state machines. Their random numbers
-// are seeded by the node's name and the time of its start.
-func coreOptions(chosen settings.Settings, self cluster.Node) core.Options {
-	limits, capacity := chosen.Limits, chosen.Capacity
+// coreOptions returns the options of the state machines. Their random seed is
+// derived from the node's ID and its incarnation, which is its start time.
+func coreOptions(config settings.Settings, self cluster.Node) core.Options {
+	limits, capacity := config.Limits, config.Capacity
 	return core.Options{
 		Self:          self,
-		SeedAddresses: chosen.Peers,
+		SeedAddresses: config.Peers,
 		Seed:          xxhash.Sum64String(string(self.ID)) ^ uint64(self.Incarnation),
 		Rollout:       rollout.Limits{MaxWait: limits.MaxWait},
 		Request: request.Options{
@@ -133,10 +135,10 @@
 	}
 }
 
-// Self returns the node's identity with the addresses that it listens on.
+// Self returns the node's identity with its bound or advertised addresses.
 func (d *Daemon) Self() cluster.Node { return d.self }
 
-// Run drives the node until it has left (nil) or has been stopped.
+// Run runs the node until it has left the cluster (nil error) or was stopped.
 func (d *Daemon) Run(ctx context.Context) error {
 	defer d.platform.Close()
 	defer d.engines.Close()
@@ -144,8 +146,8 @@
 	return d.node.Run(ctx)
 }
 
-// Leave begins a planned stop.
+// Leave starts a planned stop.
 func (d *Daemon) Leave() { d.node.Leave() }
 
-// Stop ends Run at once.
+// Stop makes Run return immediately.
 func (d *Daemon) Stop() { d.node.Stop() }
--- a/internal/daemon/logger.go
+++ b/internal/daemon/logger.go
@@ -10,55 +10,55 @@
 	"dalehook/internal/settings"
 )
 
-// NewLogger returns the logger of a process: one line an entry, with the time,
-// the level, the part's prefix and a short sentence.
-func NewLogger(chosen settings.Log, out io.Writer) (*zap.Logger, error) {
-	level, err := zapcore.ParseLevel(chosen.Level)
+// NewLogger returns a logger that writes one line per entry with the time, the
+// level, a message prefixed by the component, and the fields as JSON.
+func NewLogger(config settings.Log, out io.Writer) (*zap.Logger, error) {
+	level, err := zapcore.ParseLevel(config.Level)
 	if err != nil {
 		return nil, eris.Wrap(err, "log.level")
 	}
-	encoding := zap.NewProductionEncoderConfig()
-	encoding.EncodeTime = zapcore.ISO8601TimeEncoder
-	encoding.EncodeLevel = zapcore.CapitalLevelEncoder
-	encoding.NameKey = zapcore.OmitKey
-	encoding.CallerKey = zapcore.OmitKey
+	encoderConfig := zap.NewProductionEncoderConfig()
+	encoderConfig.EncodeTime = zapcore.ISO8601TimeEncoder
+	encoderConfig.EncodeLevel = zapcore.CapitalLevelEncoder
+	encoderConfig.NameKey = zapcore.OmitKey
+	encoderConfig.CallerKey = zapcore.OmitKey
 	core := zapcore.NewCore(
-		zapcore.NewConsoleEncoder(encoding),
+		zapcore.NewConsoleEncoder(encoderConfig),
 		zapcore.Lock(zapcore.AddSync(out)),
 		level,
 	)
-	return zap.New(plainErrors{core}), nil
+	return zap.New(errorTextCore{core}), nil
 }
 
-// plainErrors writes errors as their text alone; eris would add the stack to
-// each entry.
-type plainErrors struct{ zapcore.Core }
+// errorTextCore logs errors by their message only; eris errors would add a stack
+// trace to each entry.
+type errorTextCore struct{ zapcore.Core }
 
 // With implements zapcore.Core.
-func (p plainErrors) With(fields []zapcore.Field) zapcore.Core {
-	return plainErrors{p.Core.With(plain(fields))}
+func (c errorTextCore) With(fields []zapcore.Field) zapcore.Core {
+	return errorTextCore{c.Core.With(errorsAsText(fields))}
 }
 
 // Check implements zapcore.Core.
-func (p plainErrors) Check(entry zapcore.Entry, checked *zapcore.CheckedEntry) *zapcore.CheckedEntry {
-	if !p.Enabled(entry.Level) {
+func (c errorTextCore) Check(entry zapcore.Entry, checked *zapcore.CheckedEntry) *zapcore.CheckedEntry {
+	if !c.Enabled(entry.Level) {
 		return checked
 	}
-	return checked.AddCore(entry, p)
+	return checked.AddCore(entry, c)
 }
 
 // Write implements zapcore.Core.
-func (p plainErrors) Write(entry zapcore.Entry, fields []zapcore.Field) error {
-	return p.Core.Write(entry, plain(fields))
+func (c errorTextCore) Write(entry zapcore.Entry, fields []zapcore.Field) error {
+	return c.Core.Write(entry, errorsAsText(fields))
 }
 
-func plain(fields []zapcore.Field) []zapcore.Field {
-	texts := make([]zapcore.Field, len(fields))
+func errorsAsText(fields []zapcore.Field) []zapcore.Field {
+	converted := make([]zapcore.Field, len(fields))
 	for i, field := range fields {
 		if err, ok := field.Interface.(error); ok && field.Type == zapcore.ErrorType {
 			field = zap.String(field.Key, err.Error())
 		}
-		texts[i] = field
+		converted[i] = field
 	}
-	return texts
+	return converted
 }
--- a/internal/daemon/logger_test.go
+++ b/internal/daemon/logger_test.go
@@ -11,7 +11,7 @@
 	"dalehook/internal/settings"
 )
 
-func TestLoggerWritesShortLines(t *testing.T) {
+func TestLoggerWritesOneLinePerEntryWithoutStackTrace(t *testing.T) {
 	var out bytes.Buffer
 	logger, err := NewLogger(settings.Log{Level: "info"}, &out)
 	if err != nil {
@@ -29,8 +29,8 @@
 	}
 }
 
-func TestLoggerRefusesAnUnknownLevel(t *testing.T) {
+func TestNewLoggerRejectsUnknownLevel(t *testing.T) {
 	if _, err := NewLogger(settings.Log{Level: "loud"}, &bytes.Buffer{}); err == nil {
-		t.Error("an unknown level was taken")
+		t.Error("NewLogger accepted an unknown level")
 	}
 }
