--- a/internal/command/check.go
+++ b/internal/command/check.go
@@ -8,10 +8,10 @@
 	"github.com/google/subcommands"
 )
 
-// checkCommand checks settings and does nothing else.
+// checkCommand validates settings without running a node.
 type checkCommand struct {
-	streams  Streams
-	settings settingsFlags
+	streams       Streams
+	settingsFlags settingsFlags
 }
 
 func newCheckCommand(streams Streams) *checkCommand { return &checkCommand{streams: streams} }
@@ -31,17 +31,17 @@
 }
 
 // SetFlags implements subcommands.Command.
-func (c *checkCommand) SetFlags(flags *flag.FlagSet) { c.settings.register(flags) }
+func (c *checkCommand) SetFlags(flags *flag.FlagSet) { c.settingsFlags.register(flags) }
 
 // Execute implements subcommands.Command.
 func (c *checkCommand) Execute(_ context.Context, flags *flag.FlagSet, _ ...any) subcommands.ExitStatus {
-	if refuseArguments(c.streams, flags) {
+	if rejectArguments(c.streams, flags) {
 		return subcommands.ExitUsageError
 	}
-	loaded, ok := c.settings.load(c.streams)
+	config, ok := c.settingsFlags.load(c.streams)
 	if !ok {
 		return subcommands.ExitUsageError
 	}
-	fmt.Fprintf(c.streams.Output, "Settings of node %s in zone %s are fit for use.\n", loaded.Node.ID, loaded.Node.Zone)
+	fmt.Fprintf(c.streams.Output, "Settings of node %s in zone %s are fit for use.\n", config.Node.ID, config.Node.Zone)
 	return subcommands.ExitSuccess
 }
--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -1,4 +1,5 @@
-// Package command holds the subcommands of the dalehook binary, one file each.
+// Package command implements the subcommands of the dalehook binary, one file
+// each.
 package command
 
 import (
@@ -8,23 +9,23 @@
 	"github.com/google/subcommands"
 )
 
-// Streams are where the subcommands write and what they learn from outside.
+// Streams are the output streams and the environment of the subcommands.
 type Streams struct {
 	Output io.Writer
 	Error  io.Writer
-	// Environ is the environment as os.Environ returns it.
+	// Environ is the environment in the form returned by os.Environ.
 	Environ []string
 }
 
-// The groups of subcommands in the help text.
+// Groups of subcommands in the help text.
 const (
 	groupNode      = "running nodes"
 	groupOperators = "operators"
-	groupRehearsal = "trying it out"
+	groupTrials    = "trying it out"
 )
 
-// NewCommander returns a commander that knows every subcommand. The top-level
-// flags are still to be parsed.
+// NewCommander returns a commander with all subcommands registered. The caller
+// parses the top-level flags before it executes the commander.
 func NewCommander(flags *flag.FlagSet, name string, streams Streams) *subcommands.Commander {
 	commander := subcommands.NewCommander(flags, name)
 	commander.Output = streams.Output
@@ -38,9 +39,9 @@
 	commander.Register(newStatusCommand(streams), groupOperators)
 	commander.Register(newExplainCommand(streams), groupOperators)
 	commander.Register(newStepsCommand(streams), groupOperators)
-	commander.Register(newDemoCommand(streams), groupRehearsal)
-	commander.Register(newRehearseCommand(streams), groupRehearsal)
-	commander.Register(newLoadCommand(streams), groupRehearsal)
-	commander.Register(newStandinCommand(streams), groupRehearsal)
+	commander.Register(newDemoCommand(streams), groupTrials)
+	commander.Register(newRehearseCommand(streams), groupTrials)
+	commander.Register(newLoadCommand(streams), groupTrials)
+	commander.Register(newStandinCommand(streams), groupTrials)
 	return commander
 }
--- a/internal/command/command_test.go
+++ b/internal/command/command_test.go
@@ -23,15 +23,15 @@
 	"dalehook/internal/record"
 )
 
-// outcome is what a run of the command line left.
-type outcome struct {
+// runResult is the exit status and the output of a command line.
+type runResult struct {
 	status subcommands.ExitStatus
 	output string
 	errors string
 }
 
-// run executes one command line.
-func run(t *testing.T, arguments ...string) outcome {
+// runCommandLine executes one command line.
+func runCommandLine(t *testing.T, arguments ...string) runResult {
 	t.Helper()
 	var output, errorOutput bytes.Buffer
 	flags := flag.NewFlagSet("dalehook", flag.ContinueOnError)
@@ -41,13 +41,13 @@
 		t.Fatal(err)
 	}
 	status := commander.Execute(t.Context())
-	return outcome{status: status, output: output.String(), errors: errorOutput.String()}
+	return runResult{status: status, output: output.String(), errors: errorOutput.String()}
 }
 
 func TestHelpText(t *testing.T) {
 	for _, name := range []string{"", "node", "check", "plan", "confirm", "status", "demo", "load", "withdraw"} {
 		t.Run("help "+name, func(t *testing.T) {
-			got := run(t, strings.Fields("help "+name)...)
+			got := runCommandLine(t, strings.Fields("help "+name)...)
 			if got.status != subcommands.ExitSuccess {
 				t.Errorf("help ended with %d: %s", got.status, got.errors)
 			}
@@ -56,7 +56,7 @@
 	}
 }
 
-func TestWrongUseEndsWithTwo(t *testing.T) {
+func TestUsageErrorsExitWithStatusTwo(t *testing.T) {
 	directory := t.TempDir()
 	unknownKey := writeFile(t, directory, "key.yaml", "name: exam\nstart: 2026-12-07T09:00:00Z\nduration: 30m\nseats: 3\n")
 	wrongUnit := writeFile(t, directory, "unit.yaml", "name: exam\nstart: 2026-12-07T09:00:00Z\nduration: 30\n")
@@ -82,7 +82,7 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			got := run(t, test.arguments...)
+			got := runCommandLine(t, test.arguments...)
 			if got.status != subcommands.ExitUsageError {
 				t.Errorf("ended with %d, want %d", got.status, subcommands.ExitUsageError)
 			}
@@ -102,7 +102,7 @@
 	return path
 }
 
-func TestPairsOfAFlagNameTheirFault(t *testing.T) {
+func TestAppendFromPairsReportsTheInvalidPair(t *testing.T) {
 	tests := []struct{ text, want string }{
 		{"service=portal,rate=3", "field rate not found"},
 		{"service", `"service" is no key=value`},
@@ -110,14 +110,14 @@
 	}
 	for _, test := range tests {
 		var services []record.ServiceDemand
-		err := appendPairs(&services, test.text)
+		err := appendFromPairs(&services, test.text)
 		if err == nil || !strings.Contains(err.Error(), test.want) {
 			t.Errorf("%q gave %v, want %q in it", test.text, err, test.want)
 		}
 	}
 }
 
-func TestCheckTakesTheExamples(t *testing.T) {
+func TestCheckAcceptsTheExamples(t *testing.T) {
 	files, err := filepath.Glob("../../examples/*/*.yaml")
 	if err != nil || len(files) == 0 {
 		t.Fatalf("found no examples: %v", err)
@@ -133,7 +133,7 @@
 			}
 			continue
 		}
-		if got := run(t, "check", "-settings", file); got.status != subcommands.ExitSuccess {
+		if got := runCommandLine(t, "check", "-settings", file); got.status != subcommands.ExitSuccess {
 			t.Errorf("%s: %s", file, got.errors)
 		}
 	}
@@ -164,9 +164,9 @@
 	}))
 	defer node.Close()
 
-	fromFile := run(t, "plan", "-node", node.URL, "-event", "../../examples/medellin/exam-week.yaml")
-	replaced := run(t, "plan", "-node", node.URL, "-event", "../../examples/medellin/exam-week.yaml", "-crowd", "17")
-	fromFlags := run(t, "plan", "-node", node.URL, "-json",
+	fromFile := runCommandLine(t, "plan", "-node", node.URL, "-event", "../../examples/medellin/exam-week.yaml")
+	replaced := runCommandLine(t, "plan", "-node", node.URL, "-event", "../../examples/medellin/exam-week.yaml", "-crowd", "17")
+	fromFlags := runCommandLine(t, "plan", "-node", node.URL, "-json",
 		"-name", "exam week", "-start", "2026-12-07T09:00:00-05:00", "-duration", "4h", "-crowd", "4000", "-arrival", "5m",
 		"-service", "service=portal,class=saves,requests_per_caller=40,service_time=12ms,importance=10",
 		"-rollout", "trainer=marking,pool=marking,model=marking,samples_per_step=128,mean_tokens=250,max_tokens=3000,step_every=7m,staleness_bound=3,importance=5")
@@ -185,7 +185,7 @@
 
 	path := writeFile(t, t.TempDir(), "plan.json", fromFlags.output)
 	confirm := newConfirmCommand(Streams{Output: io.Discard, Error: io.Discard})
-	confirm.name, confirm.planPath = "ana", path
+	confirm.operatorName, confirm.planPath = "ana", path
 	confirmation, err := confirm.confirmation()
 	if err != nil {
 		t.Fatal(err)
@@ -195,13 +195,13 @@
 	}
 }
 
-func TestConfirmNamesTheWinner(t *testing.T) {
+func TestConfirmReportsTheConflictingPlan(t *testing.T) {
 	node := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(http.StatusConflict)
 		_, _ = io.WriteString(w, `{"error":{"code":"revision_conflict","message":"plan d2 of luis is in force at revision 9","peer":"cayma-1","not_run":true,"retry_after_ms":250}}`)
 	}))
 	defer node.Close()
-	got := run(t, "confirm", "-node", node.URL, "-digest", "d1", "-revision", "3", "-operator", "ana")
+	got := runCommandLine(t, "confirm", "-node", node.URL, "-digest", "d1", "-revision", "3", "-operator", "ana")
 	want := "confirm: revision_conflict: plan d2 of luis is in force at revision 9 (peer cayma-1)\nTry again in 250ms.\n"
 	if got.status != subcommands.ExitFailure || got.errors != want {
 		t.Errorf("ended with %d and %q, want 1 and %q", got.status, got.errors, want)
--- a/internal/command/confirm.go
+++ b/internal/command/confirm.go
@@ -14,14 +14,14 @@
 	"dalehook/internal/record"
 )
 
-// confirmCommand puts a plan in force.
+// confirmCommand confirms a plan, which puts it in force.
 type confirmCommand struct {
-	streams  Streams
-	operator operatorFlags
-	digest   string
-	revision uint64
-	name     string
-	planPath string
+	streams      Streams
+	clientFlags  clientFlags
+	digest       string
+	revision     uint64
+	operatorName string
+	planPath     string
 }
 
 func newConfirmCommand(streams Streams) *confirmCommand { return &confirmCommand{streams: streams} }
@@ -44,16 +44,16 @@
 
 // SetFlags implements subcommands.Command.
 func (c *confirmCommand) SetFlags(flags *flag.FlagSet) {
-	c.operator.register(flags)
+	c.clientFlags.register(flags)
 	flags.StringVar(&c.digest, "digest", "", "digest of the plan")
 	flags.Uint64Var(&c.revision, "revision", 0, "revision that the plan was made from")
-	flags.StringVar(&c.name, "operator", "", "your name, for the record (required)")
+	flags.StringVar(&c.operatorName, "operator", "", "your name, for the record (required)")
 	flags.StringVar(&c.planPath, "plan", "", "`file` with the output of \"plan -json\", in place of -digest and -revision")
 }
 
 // Execute implements subcommands.Command.
 func (c *confirmCommand) Execute(ctx context.Context, flags *flag.FlagSet, _ ...any) subcommands.ExitStatus {
-	node, ok := c.operator.client(c.streams, flags)
+	node, ok := c.clientFlags.newClient(c.streams, flags)
 	if !ok {
 		return subcommands.ExitUsageError
 	}
@@ -62,28 +62,28 @@
 		fmt.Fprintf(c.streams.Error, "confirm: %v\n", err)
 		return subcommands.ExitUsageError
 	}
-	ctx, cancel := c.operator.context(ctx)
+	ctx, cancel := c.clientFlags.withTimeout(ctx)
 	defer cancel()
 	answer, err := node.ConfirmPlan(ctx, confirmation)
 	if err != nil {
-		return reportFailure(c.streams, "confirm", err)
+		return printFailure(c.streams, "confirm", err)
 	}
-	if c.operator.json {
+	if c.clientFlags.json {
 		return printJSON(c.streams, answer)
 	}
 	fmt.Fprintf(c.streams.Output, "Plan %s is in force at revision %d.\n", answer.Digest, answer.Revision)
 	return subcommands.ExitSuccess
 }
 
-// confirmation reads the flags, and the plan's file where one is named.
+// confirmation builds the confirmation from the flags or from the plan file.
 func (c *confirmCommand) confirmation() (client.Confirmation, error) {
-	if c.name == "" {
+	if c.operatorName == "" {
 		return client.Confirmation{}, eris.New("-operator is required")
 	}
 	confirmation := client.Confirmation{
 		Digest:   c.digest,
 		Revision: record.Revision(c.revision),
-		Operator: c.name,
+		Operator: c.operatorName,
 	}
 	if c.planPath == "" {
 		if c.digest == "" {
--- a/internal/command/demo.go
+++ b/internal/command/demo.go
@@ -15,7 +15,7 @@
 	"dalehook/internal/settings"
 )
 
-// demoCommand runs a whole deployment in one process.
+// demoCommand runs a complete deployment in one process.
 type demoCommand struct {
 	streams  Streams
 	options  demo.Options
@@ -52,7 +52,7 @@
 
 // Execute implements subcommands.Command.
 func (c *demoCommand) Execute(ctx context.Context, flags *flag.FlagSet, _ ...any) subcommands.ExitStatus {
-	if refuseArguments(c.streams, flags) {
+	if rejectArguments(c.streams, flags) {
 		return subcommands.ExitUsageError
 	}
 	if c.options.Nodes < 1 || c.options.Requests < 0 || c.options.Versions < 1 {
@@ -86,13 +86,12 @@
 	return subcommands.ExitSuccess
 }
 
-// isTerminal reports whether output goes to a terminal rather than to a pipe or
-// a file.
+// isTerminal reports whether out is a terminal.
 func isTerminal(out io.Writer) bool {
 	file, ok := out.(*os.File)
 	if !ok {
 		return false
 	}
-	information, err := file.Stat()
-	return err == nil && information.Mode()&os.ModeCharDevice != 0
+	info, err := file.Stat()
+	return err == nil && info.Mode()&os.ModeCharDevice != 0
 }
--- a/internal/command/event.go
+++ b/internal/command/event.go
@@ -18,73 +18,74 @@
 	"dalehook/internal/record"
 )
 
-// eventFlags state an event: a file, flags, or a file of which flags replace
-// parts.
+// eventFlags define an event by a file, by flags, or by a file with flags that
+// override parts of it.
 type eventFlags struct {
 	path string
-	// parts set what the flags stated, in their order.
-	parts []func(*record.Event) error
+	// setters apply the flags to the event, in command-line order.
+	setters []func(*record.Event) error
 }
 
 func (e *eventFlags) register(flags *flag.FlagSet) {
 	flags.StringVar(&e.path, "event", "", "event `file` in YAML; the flags below replace parts of it, or add to its lists")
-	e.flag(flags, "name", "name of the event", func(event *record.Event, text string) error {
+	e.registerFlag(flags, "name", "name of the event", func(event *record.Event, text string) error {
 		event.Name = text
 		return nil
 	})
-	e.flag(flags, "start", "start `time`, such as 2026-12-07T09:00:00-05:00, or from now, such as +1m", func(event *record.Event, text string) error {
+	e.registerFlag(flags, "start", "start `time`, such as 2026-12-07T09:00:00-05:00, or from now, such as +1m", func(event *record.Event, text string) error {
 		start, err := parseStart(time.Now(), text)
 		event.Start = start
 		return err
 	})
-	e.flag(flags, "crowd", "expected number of callers", func(event *record.Event, text string) error {
+	e.registerFlag(flags, "crowd", "expected number of callers", func(event *record.Event, text string) error {
 		return yaml.Unmarshal([]byte(text), &event.Crowd)
 	})
-	e.flag(flags, "duration", "how long the event lasts, such as 4h", func(event *record.Event, text string) error {
+	e.registerFlag(flags, "duration", "how long the event lasts, such as 4h", func(event *record.Event, text string) error {
 		return event.Duration.UnmarshalText([]byte(text))
 	})
-	e.flag(flags, "arrival", "time over which the crowd's first requests come in, such as 5m", func(event *record.Event, text string) error {
+	e.registerFlag(flags, "arrival", "time over which the crowd's first requests come in, such as 5m", func(event *record.Event, text string) error {
 		return event.Arrival.UnmarshalText([]byte(text))
 	})
-	e.flag(flags, "service", "service that the event touches, as `key=value,...` with the keys of the event file; may be repeated", func(event *record.Event, text string) error {
-		return appendPairs(&event.Services, text)
+	e.registerFlag(flags, "service", "service that the event touches, as `key=value,...` with the keys of the event file; may be repeated", func(event *record.Event, text string) error {
+		return appendFromPairs(&event.Services, text)
 	})
-	e.flag(flags, "rollout", "rollout work, as `key=value,...` with the keys of the event file; may be repeated", func(event *record.Event, text string) error {
-		return appendPairs(&event.Rollouts, text)
+	e.registerFlag(flags, "rollout", "rollout work, as `key=value,...` with the keys of the event file; may be repeated", func(event *record.Event, text string) error {
+		return appendFromPairs(&event.Rollouts, text)
 	})
 }
 
-// flag registers one part of the event. The text is tried at once, so that a
-// fault is reported with its flag, and set when the file has been read.
-func (e *eventFlags) flag(flags *flag.FlagSet, name, help string, set func(*record.Event, string) error) {
+// registerFlag registers a flag that sets one part of the event. The value is
+// parsed immediately, so that an error names the flag, and applied after the file
+// was read.
+func (e *eventFlags) registerFlag(flags *flag.FlagSet, name, help string, set func(*record.Event, string) error) {
 	flags.Func(name, help, func(text string) error {
-		e.parts = append(e.parts, func(event *record.Event) error { return set(event, text) })
+		e.setters = append(e.setters, func(event *record.Event) error { return set(event, text) })
 		return set(&record.Event{}, text)
 	})
 }
 
-// load returns the event as stated, or everything that is wrong with it.
+// load returns the event, or an error that lists all invalid fields.
 func (e *eventFlags) load() (record.Event, error) {
 	event, err := e.readFile()
 	if err != nil {
 		return record.Event{}, err
 	}
-	for _, set := range e.parts {
+	for _, set := range e.setters {
 		if err := set(&event); err != nil {
 			return record.Event{}, err
 		}
 	}
-	return event, checkEvent(event)
+	return event, validateEvent(event)
 }
 
-// eventFile is an event as it stands in a file. The part that only a rehearsal
-// reads may stand there too, so that one file serves both.
+// eventFile is the content of an event file. It accepts the rehearsal section,
+// which only the rehearse subcommand reads, so that both can share a file.
 type eventFile struct {
 	record.Event `yaml:",inline"`
 	Rehearsal    yaml.Node `yaml:"rehearsal"`
 }
 
-// readFile returns the event of the named file, or an empty one.
+// readFile returns the event from the file, or an empty one if no file is given.
 func (e *eventFlags) readFile() (record.Event, error) {
 	if e.path == "" {
 		return record.Event{}, nil
@@ -94,22 +95,23 @@
 		return record.Event{}, eris.Wrap(err, "read event file")
 	}
 	var file eventFile
-	if err := decodeStrictly(content, &file); err != nil {
+	if err := decodeStrict(content, &file); err != nil {
 		return record.Event{}, eris.Wrap(err, e.path)
 	}
 	return file.Event, nil
 }
 
-// parseStart reads a time, or a duration from now that begins with "+".
+// parseStart parses an RFC 3339 time, or a duration from now that starts with
+// "+".
 func parseStart(now time.Time, text string) (time.Time, error) {
 	if !strings.HasPrefix(text, "+") {
 		return time.Parse(time.RFC3339, text)
 	}
-	lead, err := time.ParseDuration(text)
-	return now.Add(lead).UTC().Truncate(time.Second), err
+	offset, err := time.ParseDuration(text)
+	return now.Add(offset).UTC().Truncate(time.Second), err
 }
 
-func decodeStrictly(content []byte, target any) error {
+func decodeStrict(content []byte, target any) error {
 	decoder := yaml.NewDecoder(bytes.NewReader(content))
 	decoder.KnownFields(true)
 	err := decoder.Decode(target)
@@ -119,8 +121,9 @@
 	return err
 }
 
-// appendPairs reads "key=value,key=value" by the keys of the event file.
-func appendPairs[T any](list *[]T, text string) error {
+// appendFromPairs parses "key=value,key=value" with the keys of the event file
+// and appends the result to the list.
+func appendFromPairs[T any](list *[]T, text string) error {
 	document := yaml.Node{Kind: yaml.MappingNode}
 	for pair := range strings.SplitSeq(text, ",") {
 		key, value, found := strings.Cut(pair, "=")
@@ -136,22 +139,22 @@
 		return err
 	}
 	var item T
-	if err := decodeStrictly(content, &item); err != nil {
+	if err := decodeStrict(content, &item); err != nil {
 		return err
 	}
 	*list = append(*list, item)
 	return nil
 }
 
-// checkEvent applies the rules of the event's validate tags.
-func checkEvent(event record.Event) error {
-	check := validator.New(validator.WithRequiredStructEnabled())
-	check.RegisterTagNameFunc(func(member reflect.StructField) string {
-		name, _, _ := strings.Cut(member.Tag.Get("yaml"), ",")
+// validateEvent checks the event against its validate tags.
+func validateEvent(event record.Event) error {
+	validate := validator.New(validator.WithRequiredStructEnabled())
+	validate.RegisterTagNameFunc(func(field reflect.StructField) string {
+		name, _, _ := strings.Cut(field.Tag.Get("yaml"), ",")
 		return name
 	})
 	var failures validator.ValidationErrors
-	if !errors.As(check.Struct(event), &failures) {
+	if !errors.As(validate.Struct(event), &failures) {
 		return nil
 	}
 	lines := make([]string, len(failures))
--- a/internal/command/explain.go
+++ b/internal/command/explain.go
@@ -11,7 +11,8 @@
 	"dalehook/internal/explain"
 )
 
-// explainCommand tells the life of one request, item or batch job from log files.
+// explainCommand prints the history of one request, item or batch job from log
+// files.
 type explainCommand struct{ streams Streams }
 
 func newExplainCommand(streams Streams) *explainCommand { return &explainCommand{streams: streams} }
@@ -42,10 +43,10 @@
 	}
 	lines, err := readLogs(flags.Args()[1:])
 	if err != nil {
-		return reportFailure(c.streams, "explain", err)
+		return printFailure(c.streams, "explain", err)
 	}
 	if err := explain.Explain(flags.Arg(0), lines).Write(c.streams.Output); err != nil {
-		return reportFailure(c.streams, "explain", err)
+		return printFailure(c.streams, "explain", err)
 	}
 	return subcommands.ExitSuccess
 }
--- a/internal/command/load.go
+++ b/internal/command/load.go
@@ -15,7 +15,7 @@
 	"dalehook/internal/load"
 )
 
-// The defaults of a run.
+// Defaults of a load run.
 const (
 	defaultLoadRequests    = 20000
 	defaultLoadConcurrency = 16
@@ -24,14 +24,14 @@
 	defaultLoadTimeout     = 5 * time.Minute
 )
 
-// loadCommand measures what nodes add to requests.
+// loadCommand measures the overhead that nodes add to requests.
 type loadCommand struct {
-	streams Streams
-	nodes   string
-	servers string
-	options load.Options
-	timeout time.Duration
-	json    bool
+	streams         Streams
+	nodeAddresses   string
+	serverAddresses string
+	options         load.Options
+	timeout         time.Duration
+	json            bool
 }
 
 func newLoadCommand(streams Streams) *loadCommand { return &loadCommand{streams: streams} }
@@ -54,8 +54,8 @@
 
 // SetFlags implements subcommands.Command.
 func (c *loadCommand) SetFlags(flags *flag.FlagSet) {
-	flags.StringVar(&c.nodes, "nodes", "", "HTTP `addresses` of nodes (required)")
-	flags.StringVar(&c.servers, "servers", "", "HTTP `addresses` of the service's servers (required)")
+	flags.StringVar(&c.nodeAddresses, "nodes", "", "HTTP `addresses` of nodes (required)")
+	flags.StringVar(&c.serverAddresses, "servers", "", "HTTP `addresses` of the service's servers (required)")
 	flags.StringVar(&c.options.Service, "service", "", "`name` of the service (required)")
 	flags.StringVar(&c.options.Path, "path", "/lookups/1", "`path` to ask for")
 	flags.IntVar(&c.options.Requests, "requests", defaultLoadRequests, "`number` of requests on each way")
@@ -69,12 +69,12 @@
 
 // Execute implements subcommands.Command.
 func (c *loadCommand) Execute(ctx context.Context, flags *flag.FlagSet, _ ...any) subcommands.ExitStatus {
-	if refuseArguments(c.streams, flags) {
+	if rejectArguments(c.streams, flags) {
 		return subcommands.ExitUsageError
 	}
-	c.options.Nodes, c.options.Servers = baseURLs(c.nodes), baseURLs(c.servers)
-	complete := len(c.options.Nodes) > 0 && len(c.options.Servers) > 0 && c.options.Service != ""
-	if !complete || c.options.Requests < 1 || c.options.Concurrency < 1 || c.options.Turns < 1 {
+	c.options.Nodes, c.options.Servers = baseURLs(c.nodeAddresses), baseURLs(c.serverAddresses)
+	hasRequired := len(c.options.Nodes) > 0 && len(c.options.Servers) > 0 && c.options.Service != ""
+	if !hasRequired || c.options.Requests < 1 || c.options.Concurrency < 1 || c.options.Turns < 1 {
 		fmt.Fprintln(c.streams.Error, "load: -nodes, -servers and -service are required, and numbers are at least 1")
 		return subcommands.ExitUsageError
 	}
@@ -83,7 +83,7 @@
 	defer cancel()
 	report, err := load.Run(ctx, c.options)
 	if err != nil {
-		return reportFailure(c.streams, "load", err)
+		return printFailure(c.streams, "load", err)
 	}
 	if c.json {
 		printJSON(c.streams, report)
@@ -97,7 +97,8 @@
 	return subcommands.ExitSuccess
 }
 
-// baseURLs splits a list of addresses and gives each a scheme.
+// baseURLs splits a comma-separated list of addresses and adds the http scheme
+// where there is none.
 func baseURLs(list string) []string {
 	var urls []string
 	for address := range strings.SplitSeq(list, ",") {
@@ -114,15 +115,15 @@
 }
 
 func renderLoad(out io.Writer, report load.Report) {
-	ways := newTable("Requests", table.Row{"way", "sent", "failed", "per second", "p50 us", "p99 us", "max us"})
+	requests := newTable("Requests", table.Row{"way", "sent", "failed", "per second", "p50 us", "p99 us", "max us"})
 	for _, row := range []struct {
 		name string
 		way  load.Way
 	}{{"through nodes", report.Routed}, {"direct", report.Direct}} {
-		ways.AppendRow(table.Row{row.name, row.way.Requests, row.way.Failed, fmt.Sprintf("%.0f", row.way.PerSecond),
+		requests.AppendRow(table.Row{row.name, row.way.Requests, row.way.Failed, fmt.Sprintf("%.0f", row.way.PerSecond),
 			row.way.P50, row.way.P99, row.way.Max})
 	}
-	fmt.Fprintln(out, ways.Render())
+	fmt.Fprintln(out, requests.Render())
 	fmt.Fprintf(out, "Added: p50 %d us, p99 %d us. Nodes: %.1f us processor time and %.1f allocations a request.\n",
 		report.AddedP50, report.AddedP99, report.CPU, report.Allocations)
 }
--- a/internal/command/node.go
+++ b/internal/command/node.go
@@ -15,10 +15,10 @@
 	"dalehook/internal/daemon"
 )
 
-// nodeCommand runs one node until it is told to stop.
+// nodeCommand runs a node until a signal stops it.
 type nodeCommand struct {
-	streams  Streams
-	settings settingsFlags
+	streams       Streams
+	settingsFlags settingsFlags
 }
 
 func newNodeCommand(streams Streams) *nodeCommand { return &nodeCommand{streams: streams} }
@@ -40,23 +40,23 @@
 }
 
 // SetFlags implements subcommands.Command.
-func (c *nodeCommand) SetFlags(flags *flag.FlagSet) { c.settings.register(flags) }
+func (c *nodeCommand) SetFlags(flags *flag.FlagSet) { c.settingsFlags.register(flags) }
 
 // Execute implements subcommands.Command.
 func (c *nodeCommand) Execute(ctx context.Context, flags *flag.FlagSet, _ ...any) subcommands.ExitStatus {
-	if refuseArguments(c.streams, flags) {
+	if rejectArguments(c.streams, flags) {
 		return subcommands.ExitUsageError
 	}
-	chosen, ok := c.settings.load(c.streams)
+	config, ok := c.settingsFlags.load(c.streams)
 	if !ok {
 		return subcommands.ExitUsageError
 	}
-	logger, err := daemon.NewLogger(chosen.Log, c.streams.Error)
+	logger, err := daemon.NewLogger(config.Log, c.streams.Error)
 	if err != nil {
 		fmt.Fprintln(c.streams.Error, err)
 		return subcommands.ExitUsageError
 	}
-	assembled, err := daemon.New(daemon.Options{Settings: chosen, Logger: logger})
+	node, err := daemon.New(daemon.Options{Settings: config, Logger: logger})
 	if err != nil {
 		logger.Error("node: Start failed.", zap.Error(err))
 		return subcommands.ExitFailure
@@ -64,27 +64,28 @@
 	signals := make(chan os.Signal, 2)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
 	defer signal.Stop(signals)
-	ended := make(chan struct{})
-	var background conc.WaitGroup
-	background.Go(func() { obeySignals(signals, ended, assembled, logger) })
-	err = assembled.Run(ctx)
-	close(ended)
-	background.Wait()
+	finished := make(chan struct{})
+	var signalHandler conc.WaitGroup
+	signalHandler.Go(func() { handleSignals(signals, finished, node, logger) })
+	err = node.Run(ctx)
+	close(finished)
+	signalHandler.Wait()
 	if err != nil {
-		logger.Error("node: Ended early.", zap.Error(err))
+		logger.Error("node: Run failed.", zap.Error(err))
 		return subcommands.ExitFailure
 	}
 	return subcommands.ExitSuccess
 }
 
-// obeySignals lets the node leave at the first signal and stops it at the second.
-func obeySignals(signals <-chan os.Signal, ended <-chan struct{}, node *daemon.Daemon, logger *zap.Logger) {
-	for _, act := range []func(){node.Leave, node.Stop} {
+// handleSignals starts a planned stop on the first signal and stops the node
+// immediately on the second.
+func handleSignals(signals <-chan os.Signal, finished <-chan struct{}, node *daemon.Daemon, logger *zap.Logger) {
+	for _, action := range []func(){node.Leave, node.Stop} {
 		select {
 		case received := <-signals:
 			logger.Info("node: Signal received.", zap.Stringer("signal", received))
-			act()
-		case <-ended:
+			action()
+		case <-finished:
 			return
 		}
 	}
--- a/internal/command/plan.go
+++ b/internal/command/plan.go
@@ -10,11 +10,11 @@
 	"dalehook/internal/planner"
 )
 
-// planCommand asks a node for a plan and prints it.
+// planCommand requests a plan from a node and prints it.
 type planCommand struct {
-	streams  Streams
-	operator operatorFlags
-	event    eventFlags
+	streams     Streams
+	clientFlags clientFlags
+	eventFlags  eventFlags
 }
 
 func newPlanCommand(streams Streams) *planCommand { return &planCommand{streams: streams} }
@@ -38,33 +38,33 @@
 
 // SetFlags implements subcommands.Command.
 func (c *planCommand) SetFlags(flags *flag.FlagSet) {
-	c.operator.register(flags)
-	c.event.register(flags)
+	c.clientFlags.register(flags)
+	c.eventFlags.register(flags)
 }
 
 // Execute implements subcommands.Command.
 func (c *planCommand) Execute(ctx context.Context, flags *flag.FlagSet, _ ...any) subcommands.ExitStatus {
-	node, ok := c.operator.client(c.streams, flags)
+	node, ok := c.clientFlags.newClient(c.streams, flags)
 	if !ok {
 		return subcommands.ExitUsageError
 	}
-	event, err := c.event.load()
+	event, err := c.eventFlags.load()
 	if err != nil {
 		fmt.Fprintln(c.streams.Error, err)
 		return subcommands.ExitUsageError
 	}
-	ctx, cancel := c.operator.context(ctx)
+	ctx, cancel := c.clientFlags.withTimeout(ctx)
 	defer cancel()
 	answer, err := node.MakePlan(ctx, event)
 	if err != nil {
-		return reportFailure(c.streams, "plan", err)
+		return printFailure(c.streams, "plan", err)
 	}
-	if c.operator.json {
+	if c.clientFlags.json {
 		return printJSON(c.streams, answer)
 	}
 	fmt.Fprintln(c.streams.Output, planner.Render(answer.Plan))
 	fmt.Fprintln(c.streams.Output, "To put it in force:")
 	fmt.Fprintf(c.streams.Output, "  dalehook confirm -node %s -digest %s -revision %d -operator YOUR-NAME\n",
-		c.operator.node, answer.Plan.Digest, answer.Plan.Base)
+		c.clientFlags.node, answer.Plan.Digest, answer.Plan.Base)
 	return subcommands.ExitSuccess
 }
--- a/internal/command/rehearse.go
+++ b/internal/command/rehearse.go
@@ -12,15 +12,15 @@
 	"dalehook/internal/rehearse"
 )
 
-// rehearseCommand runs an event on virtual time.
+// rehearseCommand simulates an event in virtual time.
 type rehearseCommand struct {
-	streams Streams
-	event   string
-	seed    uint64
-	seeds   int
-	policy  string
-	asJSON  bool
-	plot    string
+	streams   Streams
+	eventPath string
+	firstSeed uint64
+	seeds     int
+	policies  string
+	json      bool
+	plotPath  string
 }
 
 func newRehearseCommand(streams Streams) *rehearseCommand { return &rehearseCommand{streams: streams} }
@@ -44,27 +44,27 @@
 
 // SetFlags implements subcommands.Command.
 func (c *rehearseCommand) SetFlags(flags *flag.FlagSet) {
-	flags.StringVar(&c.event, "event", "", "event `file` in YAML with its rehearsal's parameters")
-	flags.Uint64Var(&c.seed, "seed", 1, "first seed")
+	flags.StringVar(&c.eventPath, "event", "", "event `file` in YAML with its rehearsal's parameters")
+	flags.Uint64Var(&c.firstSeed, "seed", 1, "first seed")
 	flags.IntVar(&c.seeds, "seeds", 1, "number of seeds")
-	flags.StringVar(&c.policy, "policy", "", "`names` of policies, by comma: "+strings.Join(rehearse.Policies(), ", "))
-	flags.BoolVar(&c.asJSON, "json", false, "write JSON instead of a table")
-	flags.StringVar(&c.plot, "plot", "", "write a plot to this `file` (.png, .svg or .pdf)")
+	flags.StringVar(&c.policies, "policy", "", "`names` of policies, by comma: "+strings.Join(rehearse.Policies(), ", "))
+	flags.BoolVar(&c.json, "json", false, "write JSON instead of a table")
+	flags.StringVar(&c.plotPath, "plot", "", "write a plot to this `file` (.png, .svg or .pdf)")
 }
 
 // Execute implements subcommands.Command.
 func (c *rehearseCommand) Execute(ctx context.Context, flags *flag.FlagSet, _ ...any) subcommands.ExitStatus {
-	if refuseArguments(c.streams, flags) {
+	if rejectArguments(c.streams, flags) {
 		return subcommands.ExitUsageError
 	}
-	file, err := rehearse.Load(c.event)
+	file, err := rehearse.Load(c.eventPath)
 	if err != nil {
 		fmt.Fprintf(c.streams.Error, "rehearse: %v\n", err)
 		return subcommands.ExitUsageError
 	}
-	options := rehearse.Options{File: file, Seed: c.seed, Seeds: c.seeds}
-	if c.policy != "" {
-		options.Policies = strings.Split(c.policy, ",")
+	options := rehearse.Options{File: file, Seed: c.firstSeed, Seeds: c.seeds}
+	if c.policies != "" {
+		options.Policies = strings.Split(c.policies, ",")
 	}
 	if err := options.Check(); err != nil {
 		fmt.Fprintf(c.streams.Error, "rehearse: %v\n", err)
@@ -82,12 +82,12 @@
 }
 
 func (c *rehearseCommand) write(result rehearse.Result) error {
-	if c.plot != "" {
-		if err := result.WritePlot(c.plot); err != nil {
+	if c.plotPath != "" {
+		if err := result.WritePlot(c.plotPath); err != nil {
 			return err
 		}
 	}
-	if !c.asJSON {
+	if !c.json {
 		result.WriteTable(c.streams.Output)
 		return nil
 	}
--- a/internal/command/rehearse_test.go
+++ b/internal/command/rehearse_test.go
@@ -7,7 +7,7 @@
 	"github.com/google/subcommands"
 )
 
-func TestRehearseRefusesWrongUse(t *testing.T) {
+func TestRehearseRejectsInvalidArguments(t *testing.T) {
 	for _, c := range []struct {
 		arguments []string
 		status    subcommands.ExitStatus
@@ -17,7 +17,7 @@
 		{[]string{"rehearse", "-event", "../../docs/operators/medellin-exam.yaml", "-policy", "guess"}, subcommands.ExitUsageError, `unknown policy "guess"`},
 		{[]string{"rehearse", "-event", "../../docs/operators/medellin-exam.yaml", "-seeds", "0"}, subcommands.ExitUsageError, "needs a seed"},
 	} {
-		got := run(t, c.arguments...)
+		got := runCommandLine(t, c.arguments...)
 		if got.status != c.status || !strings.Contains(got.errors, c.message) {
 			t.Errorf("%v ended with %d: %s", c.arguments, got.status, got.errors)
 		}
--- a/internal/command/flags.go
+++ b/internal/command/settingsflags.go
@@ -7,8 +7,8 @@
 	"dalehook/internal/settings"
 )
 
-// settingsFlags are the flags of the subcommands that take a node's settings:
-// the file, and one flag for each key.
+// settingsFlags are the flags of subcommands that load a node's settings: the
+// file, and one flag per settings key.
 type settingsFlags struct {
 	path   string
 	values map[string]string
@@ -25,9 +25,10 @@
 	}
 }
 
-// load reads the settings and reports what is wrong with them.
+// load loads the settings. It prints the errors and returns false if they are
+// invalid.
 func (s *settingsFlags) load(streams Streams) (settings.Settings, bool) {
-	loaded, err := settings.Load(settings.Options{
+	config, err := settings.Load(settings.Options{
 		Path:    s.path,
 		Flags:   s.values,
 		Environ: streams.Environ,
@@ -36,12 +37,12 @@
 		fmt.Fprintln(streams.Error, err)
 		return settings.Settings{}, false
 	}
-	return loaded, true
+	return config, true
 }
 
-// refuseArguments reports whether arguments stand after the flags. No
-// subcommand takes any.
-func refuseArguments(streams Streams, flags *flag.FlagSet) bool {
+// rejectArguments reports whether there are positional arguments, and prints an
+// error if so. It is for subcommands that take flags only.
+func rejectArguments(streams Streams, flags *flag.FlagSet) bool {
 	if flags.NArg() == 0 {
 		return false
 	}
--- a/internal/command/standin.go
+++ b/internal/command/standin.go
@@ -17,7 +17,7 @@
 	"dalehook/internal/standin"
 )
 
-// standinCommand runs one stand-in until it is told to stop.
+// standinCommand runs one stand-in until a signal stops it.
 type standinCommand struct {
 	streams Streams
 }
@@ -40,12 +40,13 @@
 `
 }
 
-// SetFlags implements subcommands.Command. The flags stand behind the kind.
+// SetFlags implements subcommands.Command. Execute parses the flags, which follow
+// the kind of stand-in.
 func (*standinCommand) SetFlags(*flag.FlagSet) {}
 
 // Execute implements subcommands.Command.
 func (c *standinCommand) Execute(ctx context.Context, flags *flag.FlagSet, _ ...any) subcommands.ExitStatus {
-	run, ok := map[string]standinRun{
+	kind, ok := map[string]standinFlags{
 		"platform": &platformFlags{},
 		"engine":   &engineFlags{},
 		"service":  &serviceFlags{},
@@ -54,18 +55,18 @@
 		fmt.Fprintln(c.streams.Error, `standin: name one of "platform", "engine" and "service"`)
 		return subcommands.ExitUsageError
 	}
-	own := flag.NewFlagSet("standin "+flags.Arg(0), flag.ContinueOnError)
-	own.SetOutput(c.streams.Error)
-	listen := own.String("listen", "127.0.0.1:0", "`address` to listen on; port 0 takes a free one")
-	run.register(own)
-	if own.Parse(flags.Args()[1:]) != nil || refuseArguments(c.streams, own) {
+	kindFlags := flag.NewFlagSet("standin "+flags.Arg(0), flag.ContinueOnError)
+	kindFlags.SetOutput(c.streams.Error)
+	listen := kindFlags.String("listen", "127.0.0.1:0", "`address` to listen on; port 0 takes a free one")
+	kind.register(kindFlags)
+	if kindFlags.Parse(flags.Args()[1:]) != nil || rejectArguments(c.streams, kindFlags) {
 		return subcommands.ExitUsageError
 	}
-	return c.serve(ctx, *listen, run)
+	return c.serve(ctx, *listen, kind)
 }
 
-// serve runs the stand-in until a signal comes or ctx ends.
-func (c *standinCommand) serve(ctx context.Context, listen string, run standinRun) subcommands.ExitStatus {
+// serve runs the stand-in until it receives a signal or ctx is done.
+func (c *standinCommand) serve(ctx context.Context, listen string, kind standinFlags) subcommands.ExitStatus {
 	ctx, stop := signal.NotifyContext(ctx, os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	server, err := standin.Listen(listen)
@@ -74,24 +75,24 @@
 		return subcommands.ExitFailure
 	}
 	defer server.Close()
-	stand := run.start(server)
-	defer stand.Close()
-	server.Serve(stand.Handler())
+	instance := kind.start(server)
+	defer instance.Close()
+	server.Serve(instance.Handler())
 	fmt.Fprintf(c.streams.Output, "listening %s\n", server.Address())
 	<-ctx.Done()
 	return subcommands.ExitSuccess
 }
 
-// standinServer is what each stand-in offers.
-type standinServer interface {
+// standinInstance is a started stand-in.
+type standinInstance interface {
 	Handler() http.Handler
 	Close()
 }
 
-// standinRun holds the flags of one kind of stand-in and starts it.
-type standinRun interface {
+// standinFlags holds the flags of one kind of stand-in and starts it.
+type standinFlags interface {
 	register(flags *flag.FlagSet)
-	start(server *standin.Server) standinServer
+	start(server *standin.Server) standinInstance
 }
 
 type platformFlags struct {
@@ -104,14 +105,14 @@
 	flags.IntVar(&f.options.WeightsBurst, "weights-burst", 1, "weight fetches allowed at once")
 }
 
-func (f *platformFlags) start(*standin.Server) standinServer {
+func (f *platformFlags) start(*standin.Server) standinInstance {
 	return standin.NewPlatform(f.options)
 }
 
-// machineFlags are the flags of a stand-in that is on the machine list.
+// machineFlags are the flags of a stand-in that registers in the machine list.
 type machineFlags struct {
-	machine  cluster.Machine
-	platform string
+	machine     cluster.Machine
+	platformURL string
 }
 
 func (f *machineFlags) register(flags *flag.FlagSet, id, poolHelp string) {
@@ -120,11 +121,11 @@
 	flags.StringVar((*string)(&f.machine.Zone), "zone", "", "`zone` of the machine")
 	flags.StringVar((*string)(&f.machine.Region), "region", "", "`region` of the machine")
 	flags.StringVar(&f.machine.Address, "advertise", "", "`address` on the machine list; by default the bound one")
-	flags.StringVar(&f.platform, "platform", "", "`URL` of the platform to register at, empty for none")
+	flags.StringVar(&f.platformURL, "platform", "", "`URL` of the platform to register at, empty for none")
 }
 
-// describe returns the line on the machine list.
-func (f *machineFlags) describe(server *standin.Server) cluster.Machine {
+// machineEntry returns the stand-in's entry in the machine list.
+func (f *machineFlags) machineEntry(server *standin.Server) cluster.Machine {
 	machine := f.machine
 	if machine.Address == "" {
 		machine.Address = server.Address()
@@ -157,11 +158,11 @@
 	flags.DurationVar(&o.KeepTime, "keep-time", standin.DefaultKeepTime, "`time` that a finished answer can be read again")
 }
 
-func (f *engineFlags) start(server *standin.Server) standinServer {
+func (f *engineFlags) start(server *standin.Server) standinInstance {
 	options := f.options
 	options.Server = server
-	options.Machine = f.describe(server)
-	options.PlatformURL = strings.TrimRight(f.platform, "/")
+	options.Machine = f.machineEntry(server)
+	options.PlatformURL = strings.TrimRight(f.platformURL, "/")
 	return standin.NewEngine(options)
 }
 
@@ -179,10 +180,10 @@
 	flags.IntVar(&o.PayloadBytes, "payload", 0, "`bytes` of filler in each answer")
 }
 
-func (f *serviceFlags) start(server *standin.Server) standinServer {
+func (f *serviceFlags) start(server *standin.Server) standinInstance {
 	options := f.options
 	options.Server = server
-	options.Machine = f.describe(server)
-	options.PlatformURL = strings.TrimRight(f.platform, "/")
+	options.Machine = f.machineEntry(server)
+	options.PlatformURL = strings.TrimRight(f.platformURL, "/")
 	return standin.NewService(options)
 }
--- a/internal/command/standin_test.go
+++ b/internal/command/standin_test.go
@@ -15,7 +15,8 @@
 	"dalehook/internal/platform"
 )
 
-// startStandin runs the subcommand until the test ends and returns its address.
+// startStandin runs the subcommand until the end of the test and returns the
+// address that it listens on.
 func startStandin(t *testing.T, arguments ...string) (address string) {
 	t.Helper()
 	reader, writer := io.Pipe()
@@ -41,7 +42,7 @@
 	return address
 }
 
-func TestStandinsRegister(t *testing.T) {
+func TestStandinsRegisterWithThePlatform(t *testing.T) {
 	url := "http://" + startStandin(t, "platform")
 	engine := startStandin(t, "engine", "-platform", url, "-id", "e1", "-pool", "captions", "-zone", "cayma")
 	service := startStandin(t, "service", "-platform", url+"/", "-id", "b1", "-pool", "lookup", "-advertise", "10.0.0.9:80")
@@ -65,7 +66,7 @@
 	}
 }
 
-func TestStandinWrongUse(t *testing.T) {
+func TestStandinUsageErrors(t *testing.T) {
 	for _, arguments := range []string{"", "trainer", "engine -slots many", "service extra", "platform -listen"} {
 		var output, errorOutput bytes.Buffer
 		flags := flag.NewFlagSet("standin", flag.ContinueOnError)
--- a/internal/command/status.go
+++ b/internal/command/status.go
@@ -13,10 +13,10 @@
 	"dalehook/internal/machine"
 )
 
-// statusCommand prints what one node knows.
+// statusCommand prints the status report of one node.
 type statusCommand struct {
-	streams  Streams
-	operator operatorFlags
+	streams     Streams
+	clientFlags clientFlags
 }
 
 func newStatusCommand(streams Streams) *statusCommand { return &statusCommand{streams: streams} }
@@ -36,33 +36,33 @@
 }
 
 // SetFlags implements subcommands.Command.
-func (c *statusCommand) SetFlags(flags *flag.FlagSet) { c.operator.register(flags) }
+func (c *statusCommand) SetFlags(flags *flag.FlagSet) { c.clientFlags.register(flags) }
 
 // Execute implements subcommands.Command.
 func (c *statusCommand) Execute(ctx context.Context, flags *flag.FlagSet, _ ...any) subcommands.ExitStatus {
-	node, ok := c.operator.client(c.streams, flags)
+	node, ok := c.clientFlags.newClient(c.streams, flags)
 	if !ok {
 		return subcommands.ExitUsageError
 	}
-	ctx, cancel := c.operator.context(ctx)
+	ctx, cancel := c.clientFlags.withTimeout(ctx)
 	defer cancel()
 	report, err := node.Status(ctx)
 	if err != nil {
-		return reportFailure(c.streams, "status", err)
+		return printFailure(c.streams, "status", err)
 	}
-	if c.operator.json {
+	if c.clientFlags.json {
 		return printJSON(c.streams, report)
 	}
 	renderStatus(c.streams.Output, report)
 	return subcommands.ExitSuccess
 }
 
-// renderStatus writes a report as tables; empty ones are left out.
+// renderStatus writes a report as tables and omits empty ones.
 func renderStatus(out io.Writer, report machine.StatusReport) {
 	fmt.Fprintf(out, "Node %s in zone %s: revision %d, control offset %d, view %d with %d members%s%s\n",
 		report.Node.ID, report.Node.Zone, report.Revision, report.ControlOffset,
 		report.View.Number, len(report.View.Members),
-		when(report.Leaving, ", leaving"), when(report.StoreDown, ", store down"))
+		textIf(report.Leaving, ", leaving"), textIf(report.StoreDown, ", store down"))
 
 	members := newTable("Nodes", table.Row{"node", "zone", "state", "incarnation"})
 	for _, member := range report.Members {
@@ -87,15 +87,16 @@
 	}
 }
 
-// unknownHere stands where a node has no report of a back end: other nodes watch it.
-const unknownHere = "not known here"
+// notReported is shown in place of the model of a backend that the node has no
+// report of, because other nodes watch it.
+const notReported = "not known here"
 
 func backendRow(backend machine.BackendStatus) table.Row {
 	row := table.Row{backend.ID, backend.Kind, backend.Pool, backend.Zone, backend.State}
 	if backend.Unreported {
-		return append(row, "", "", unknownHere, "")
+		return append(row, "", "", notReported, "")
 	}
-	return append(row, backend.Running, backend.Waiting, backend.Model, versionText(backend))
+	return append(row, backend.Running, backend.Waiting, backend.Model, formatVersion(backend))
 }
 
 func newTable(title string, header table.Row) table.Writer {
@@ -105,14 +106,14 @@
 	return writer
 }
 
-func versionText(backend machine.BackendStatus) string {
+func formatVersion(backend machine.BackendStatus) string {
 	if backend.Version == 0 {
 		return ""
 	}
 	return fmt.Sprint(backend.Version)
 }
 
-func when(condition bool, text string) string {
+func textIf(condition bool, text string) string {
 	if condition {
 		return text
 	}
--- a/internal/command/steps.go
+++ b/internal/command/steps.go
@@ -9,7 +9,7 @@
 	"dalehook/internal/explain"
 )
 
-// stepsCommand tells what the steps of trainers waited for, from log files.
+// stepsCommand prints a latency breakdown of the trainers' steps from log files.
 type stepsCommand struct{ streams Streams }
 
 func newStepsCommand(streams Streams) *stepsCommand { return &stepsCommand{streams: streams} }
@@ -40,10 +40,10 @@
 func (c *stepsCommand) Execute(_ context.Context, flags *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	lines, err := readLogs(flags.Args())
 	if err != nil {
-		return reportFailure(c.streams, "steps", err)
+		return printFailure(c.streams, "steps", err)
 	}
 	if err := explain.WriteSteps(c.streams.Output, explain.Steps(lines)); err != nil {
-		return reportFailure(c.streams, "steps", err)
+		return printFailure(c.streams, "steps", err)
 	}
 	return subcommands.ExitSuccess
 }
--- a/internal/command/withdraw.go
+++ b/internal/command/withdraw.go
@@ -11,13 +11,13 @@
 	"dalehook/internal/record"
 )
 
-// withdrawCommand takes an event out of force.
+// withdrawCommand withdraws an event that is in force.
 type withdrawCommand struct {
-	streams  Streams
-	operator operatorFlags
-	event    string
-	revision uint64
-	name     string
+	streams      Streams
+	clientFlags  clientFlags
+	eventName    string
+	revision     uint64
+	operatorName string
 }
 
 func newWithdrawCommand(streams Streams) *withdrawCommand { return &withdrawCommand{streams: streams} }
@@ -39,30 +39,30 @@
 
 // SetFlags implements subcommands.Command.
 func (c *withdrawCommand) SetFlags(flags *flag.FlagSet) {
-	c.operator.register(flags)
-	flags.StringVar(&c.event, "event", "", "`name` of the event (required)")
+	c.clientFlags.register(flags)
+	flags.StringVar(&c.eventName, "event", "", "`name` of the event (required)")
 	flags.Uint64Var(&c.revision, "revision", 0, "revision in force")
-	flags.StringVar(&c.name, "operator", "", "your name, for the record (required)")
+	flags.StringVar(&c.operatorName, "operator", "", "your name, for the record (required)")
 }
 
 // Execute implements subcommands.Command.
 func (c *withdrawCommand) Execute(ctx context.Context, flags *flag.FlagSet, _ ...any) subcommands.ExitStatus {
-	node, ok := c.operator.client(c.streams, flags)
+	node, ok := c.clientFlags.newClient(c.streams, flags)
 	if !ok {
 		return subcommands.ExitUsageError
 	}
-	if c.event == "" || c.name == "" {
+	if c.eventName == "" || c.operatorName == "" {
 		fmt.Fprintln(c.streams.Error, "withdraw: -event and -operator are required")
 		return subcommands.ExitUsageError
 	}
-	ctx, cancel := c.operator.context(ctx)
+	ctx, cancel := c.clientFlags.withTimeout(ctx)
 	defer cancel()
-	withdrawal := client.Withdrawal{Event: c.event, Revision: record.Revision(c.revision), Operator: c.name}
+	withdrawal := client.Withdrawal{Event: c.eventName, Revision: record.Revision(c.revision), Operator: c.operatorName}
 	answer, err := node.WithdrawEvent(ctx, withdrawal)
 	if err != nil {
-		return reportFailure(c.streams, "withdraw", err)
+		return printFailure(c.streams, "withdraw", err)
 	}
-	if c.operator.json {
+	if c.clientFlags.json {
 		return printJSON(c.streams, answer)
 	}
 	fmt.Fprintf(c.streams.Output, "Event %q is out of force; revision %d is in force.\n", answer.Event, answer.Revision)
