--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -55,7 +55,7 @@
 	State(ctx context.Context, server scheduler.Server, model string) (EngineState, error)
 	// Load orders an engine to load a version, on the condition that the engine has
 	// accepted the given number of orders so far.
-	Load(ctx context.Context, order scheduler.Order, orders int64) (OrderAnswer, error)
+	Load(ctx context.Context, order scheduler.LoadOrder, orders int64) (OrderAnswer, error)
 }
 
 // Observer records the coordinator's metrics.
@@ -173,7 +173,7 @@
 	}
 	if delay := now.Sub(c.lastTickAt) - tickInterval; delay > maxTickDelay {
 		c.options.Logger.Info("stood still", zap.Duration("lasted", delay))
-		machine.HandleStoodStill(now, delay)
+		machine.HandleProcessPause(now, delay)
 	}
 	c.lastTickAt = now
 	machine.Tick(now)
@@ -199,7 +199,7 @@
 		return
 	}
 	apply(clock.Now(), c.machine)
-	c.execute(c.machine.Take())
+	c.execute(c.machine.TakeOutput())
 }
 
 // stateInterval is the time between log entries of the scheduler's state.
@@ -303,5 +303,5 @@
 		return
 	}
 	apply(clock.Now())
-	c.execute(machine.Take())
+	c.execute(machine.TakeOutput())
 }
--- a/internal/coordinator/handover_test.go
+++ b/internal/coordinator/handover_test.go
@@ -33,7 +33,7 @@
 	return EngineState{Version: 1}, nil
 }
 
-func (oneEventEngines) Load(context.Context, scheduler.Order, int64) (OrderAnswer, error) {
+func (oneEventEngines) Load(context.Context, scheduler.LoadOrder, int64) (OrderAnswer, error) {
 	return OrderSatisfied, nil
 }
 
--- a/internal/coordinator/suspended_test.go
+++ b/internal/coordinator/suspended_test.go
@@ -15,7 +15,7 @@
 	c := New(Options{})
 	c.machine = scheduler.NewMachine(scheduler.Options{})
 	c.lease = election.Lease{Epoch: 3, ExpiresAt: clock.Now().Add(2 * time.Second)}
-	order := scheduler.Order{Epoch: 3}
+	order := scheduler.LoadOrder{Epoch: 3}
 	if !c.mayOrder(order) {
 		t.Fatal("order not allowed under a lease in force")
 	}
--- a/internal/coordinator/term_subscriber.go
+++ b/internal/coordinator/term_subscriber.go
@@ -29,10 +29,10 @@
 				zap.Int("partition", partition), zap.Int("results", len(change.Accepted.Results)),
 				zap.Int64("epoch", f.coordinator.termEpoch))
 			f.machine.HandleJob(now, partition, change.Accepted.Job, change.Accepted.Results)
-		case change.Listed != nil:
-			f.machine.HandleListed(now, change.Listed)
+		case change.Result != nil:
+			f.machine.HandleResult(now, change.Result)
 		case change.Ended != nil:
-			f.machine.HandleEnded(now, change.Ended.Job.ID)
+			f.machine.HandleJobEnd(now, change.Ended.Job.ID)
 		}
 	})
 }
@@ -46,7 +46,7 @@
 
 // HandleCaughtUp implements joblog.Subscriber.
 func (f *termSubscriber) HandleCaughtUp(partition int, since time.Time) {
-	f.coordinator.withTermScheduler(f.machine, func(now time.Time) { f.machine.HandleFresh(now, partition, since) })
+	f.coordinator.withTermScheduler(f.machine, func(now time.Time) { f.machine.HandlePartitionRead(now, partition, since) })
 }
 
 // indexJob appends the index entry that tells readers where a job begins. The caller holds the mutex.
--- a/internal/frontend/jobreads_test.go
+++ b/internal/frontend/jobreads_test.go
@@ -131,7 +131,7 @@
 			node := newReaderNode(t, memory)
 			node.observeCoordinator(false, c.address)
 			began := time.Now()
-			total, results, verdict := node.results(context.Background(), batch.Name{ID: "job"}, 1, 0)
+			total, results, verdict := node.results(context.Background(), batch.JobKey{ID: "job"}, 1, 0)
 			if total != 3 || len(results) != 2 || verdict != VerdictDone {
 				t.Errorf("total %d, %d results, %v", total, len(results), verdict)
 			}
@@ -152,7 +152,7 @@
 	appendJob(t, memory, "job-2", 1)
 	node := newReaderNode(t, memory)
 	node.observeCoordinator(false, listen(t).Addr().String())
-	node.results(context.Background(), batch.Name{ID: "job-1"}, 0, 0)
+	node.results(context.Background(), batch.JobKey{ID: "job-1"}, 0, 0)
 	if address := node.forwardTarget(); address != "" {
 		t.Errorf("reads are still forwarded to %s", address)
 	}
@@ -168,14 +168,14 @@
 	memory := storetest.NewMemory()
 	appendJob(t, memory, "job", 1)
 	node := newReaderNode(t, memory)
-	if _, _, verdict := node.results(context.Background(), batch.Name{ID: "job"}, 0, 0); verdict != VerdictRefused {
+	if _, _, verdict := node.results(context.Background(), batch.JobKey{ID: "job"}, 0, 0); verdict != VerdictRefused {
 		t.Errorf("during a possible takeover: %v", verdict)
 	}
 	node.seenAt = time.Now().Add(-takeoverTimeout)
-	if _, results, verdict := node.results(context.Background(), batch.Name{ID: "job"}, 0, 0); verdict != VerdictDone || len(results) != 1 {
+	if _, results, verdict := node.results(context.Background(), batch.JobKey{ID: "job"}, 0, 0); verdict != VerdictDone || len(results) != 1 {
 		t.Errorf("without a coordinator: %v, %d results", verdict, len(results))
 	}
-	if _, _, verdict := node.results(context.Background(), batch.Name{ID: "no such job"}, 0, 0); verdict != VerdictAbsent {
+	if _, _, verdict := node.results(context.Background(), batch.JobKey{ID: "no such job"}, 0, 0); verdict != VerdictAbsent {
 		t.Errorf("a job that does not exist: %v", verdict)
 	}
 }
@@ -189,7 +189,7 @@
 	node.observeCoordinator(false, serve(t, follower))
 	node.failedAt = time.Now().Add(-2 * takeoverTimeout)
 	node.seenAt = node.failedAt
-	if _, _, verdict := node.results(context.Background(), batch.Name{ID: "job"}, 0, 0); verdict != VerdictRefused {
+	if _, _, verdict := node.results(context.Background(), batch.JobKey{ID: "job"}, 0, 0); verdict != VerdictRefused {
 		t.Errorf("%v", verdict)
 	}
 }
@@ -213,7 +213,7 @@
 	}
 	answered := make(chan int)
 	go func() {
-		_, results, _ := node.results(context.Background(), batch.Name{ID: "later"}, 0, 20*time.Second)
+		_, results, _ := node.results(context.Background(), batch.JobKey{ID: "later"}, 0, 20*time.Second)
 		answered <- len(results)
 	}()
 	time.Sleep(100 * time.Millisecond)
--- a/internal/jobread/jobread.go
+++ b/internal/jobread/jobread.go
@@ -22,7 +22,7 @@
 
 // ResultsRequest requests results of a job.
 type ResultsRequest struct {
-	Job batch.Name
+	Job batch.JobKey
 	// JobID is the job's LegacyID; RequestResults sets it.
 	JobID string
 	// From is the position of the first requested result.
@@ -63,7 +63,7 @@
 type Results struct {
 	Verdict Verdict
 	// Job is the job that the node looked up; empty in answers from builds without this field.
-	Job batch.Name
+	Job batch.JobKey
 	// Total is the number of the job's items.
 	Total   int
 	Ended   bool
@@ -72,7 +72,7 @@
 
 // BodyRequest requests the body of an item.
 type BodyRequest struct {
-	Job batch.Name
+	Job batch.JobKey
 	// JobID is the job's LegacyID; RequestBody sets it.
 	JobID  string
 	ItemID string
@@ -83,13 +83,13 @@
 type Body struct {
 	Verdict Verdict
 	// Job is the job that the node looked up; empty in answers from builds without this field.
-	Job   batch.Name
+	Job   batch.JobKey
 	Bytes []byte
 }
 
 // LegacyID returns the ID of a job for builds without tenants, which look up jobs by ID only. It is
 // empty for a tenant's job, which such a node would return to any caller.
-func LegacyID(job batch.Name) string {
+func LegacyID(job batch.JobKey) string {
 	if job.Tenant != "" {
 		return ""
 	}
@@ -99,7 +99,7 @@
 // Conclusive reports whether an answer with a verdict is valid for the requested job, where answered is
 // the job that the answer names. A build that interprets the request differently finds no job, which
 // must not be taken as proof that the requested job is absent.
-func Conclusive(requested, answered batch.Name, verdict Verdict) bool {
+func Conclusive(requested, answered batch.JobKey, verdict Verdict) bool {
 	return verdict != Absent || requested == answered
 }
 
@@ -120,11 +120,11 @@
 
 // requestedJob returns the job that a request names, and whether it is named in full. Builds without
 // tenants name it by ID only.
-func requestedJob(job batch.Name, legacyID string) (name batch.Name, fullName bool) {
+func requestedJob(job batch.JobKey, legacyID string) (name batch.JobKey, fullName bool) {
 	if job.ID != "" {
 		return job, true
 	}
-	return batch.Name{ID: legacyID}, false
+	return batch.JobKey{ID: legacyID}, false
 }
 
 // verdictFor returns the verdict to send to a caller that named a job in full or by ID only. A caller that names
