--- a/internal/command/explain.go
+++ b/internal/command/explain.go
@@ -41,32 +41,32 @@
 		fmt.Fprintln(c.streams.Error, "explain: name an id")
 		return subcommands.ExitUsageError
 	}
-	lines, err := readLogs(flags.Args()[1:])
+	entries, err := readLogs(flags.Args()[1:])
 	if err != nil {
 		return printFailure(c.streams, "explain", err)
 	}
-	if err := explain.Explain(flags.Arg(0), lines).Write(c.streams.Output); err != nil {
+	if err := explain.Explain(flags.Arg(0), entries).Write(c.streams.Output); err != nil {
 		return printFailure(c.streams, "explain", err)
 	}
 	return subcommands.ExitSuccess
 }
 
-func readLogs(paths []string) ([]explain.Line, error) {
+func readLogs(paths []string) ([]explain.Entry, error) {
 	if len(paths) == 0 {
 		return explain.Read("input", os.Stdin)
 	}
-	var all []explain.Line
+	var allEntries []explain.Entry
 	for _, path := range paths {
 		file, err := os.Open(path)
 		if err != nil {
 			return nil, err
 		}
-		lines, err := explain.Read(path, file)
+		entries, err := explain.Read(path, file)
 		file.Close()
 		if err != nil {
 			return nil, err
 		}
-		all = append(all, lines...)
+		allEntries = append(allEntries, entries...)
 	}
-	return all, nil
+	return allEntries, nil
 }
--- a/internal/command/steps.go
+++ b/internal/command/steps.go
@@ -38,11 +38,11 @@
 
 // Execute implements subcommands.Command.
 func (c *stepsCommand) Execute(_ context.Context, flags *flag.FlagSet, _ ...any) subcommands.ExitStatus {
-	lines, err := readLogs(flags.Args())
+	entries, err := readLogs(flags.Args())
 	if err != nil {
 		return printFailure(c.streams, "steps", err)
 	}
-	if err := explain.WriteSteps(c.streams.Output, explain.Steps(lines)); err != nil {
+	if err := explain.WriteSteps(c.streams.Output, explain.Steps(entries)); err != nil {
 		return printFailure(c.streams, "steps", err)
 	}
 	return subcommands.ExitSuccess
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -1,5 +1,5 @@
-// Package explain reads the log files of several nodes and tells the life of one
-// request, item or batch job in order, with what surrounded it.
+// Package explain reads the log files of several nodes and prints the history of
+// one request, item or batch job in chronological order, with related events.
 package explain
 
 import (
@@ -14,143 +14,147 @@
 	"time"
 )
 
-// maxLineSize is the size in bytes of the longest line that is read.
+// maxLineSize is the maximum length of a log line, in bytes.
 const maxLineSize = 4 << 20
 
-// margin is how long before and after the life of an id its surroundings count.
-const margin = time.Second
+// contextMargin extends the time range of a history on both sides when related
+// entries are searched.
+const contextMargin = time.Second
 
-// Line is one entry of a node's log.
-type Line struct {
+// Entry is one entry of a node's log.
+type Entry struct {
 	Time    time.Time
 	Source  string
 	Level   string
-	Part    string
+	Logger  string
 	Message string
-	// Fields holds the rest of the entry.
+	// Fields holds the other fields of the entry.
 	Fields map[string]any
-	// about holds the values of the fields that name something.
-	about map[string]string
+	// ids holds the values of the idFields, by field.
+	ids map[string]string
 }
 
-// keysOfIDs are the fields that name what a line is about.
-var keysOfIDs = []string{"request", "job", "item"}
+// idFields are the fields that hold the ID of an entry's subject.
+var idFields = []string{"request", "job", "item"}
 
-// headKeys are the fields that every line has.
-var headKeys = []string{"level", "ts", "logger", "msg", "node"}
+// commonFields are the fields of every entry; they aren't kept in Entry.Fields.
+var commonFields = []string{"level", "ts", "logger", "msg", "node"}
 
-// timeLayout is the layout of a line's time.
+// timeLayout is the format of log timestamps.
 const timeLayout = "2006-01-02T15:04:05.000Z0700"
 
-// Read returns the entries of a log; lines that are none are passed over. An entry's
-// field "node" names its node, else what stands before its brace, else the source.
-func Read(source string, reader io.Reader) ([]Line, error) {
+// Read returns the entries of a log and skips other lines. The source of an entry
+// is its field "node", else the word before the opening brace, else the given
+// source.
+func Read(source string, reader io.Reader) ([]Entry, error) {
 	scanner := bufio.NewScanner(reader)
 	scanner.Buffer(nil, maxLineSize)
-	var lines []Line
+	var entries []Entry
 	for scanner.Scan() {
-		if line, ok := parse(source, scanner.Bytes()); ok {
-			lines = append(lines, line)
+		if entry, ok := parseEntry(source, scanner.Bytes()); ok {
+			entries = append(entries, entry)
 		}
 	}
 	if err := scanner.Err(); err != nil {
 		return nil, fmt.Errorf("read %s: %w", source, err)
 	}
-	return lines, nil
+	return entries, nil
 }
 
-func parse(source string, text []byte) (Line, bool) {
+func parseEntry(source string, text []byte) (Entry, bool) {
 	brace := bytes.IndexByte(text, '{')
 	if brace < 0 {
-		return Line{}, false
+		return Entry{}, false
 	}
 	fields := make(map[string]any)
 	if json.Unmarshal(text[brace:], &fields) != nil {
-		return Line{}, false
+		return Entry{}, false
 	}
-	line := Line{Source: source, Fields: fields, about: make(map[string]string)}
+	entry := Entry{Source: source, Fields: fields, ids: make(map[string]string)}
 	if words := strings.Fields(string(text[:brace])); len(words) > 0 {
-		line.Source = words[len(words)-1]
+		entry.Source = words[len(words)-1]
 	}
 	if node, ok := fields["node"].(string); ok {
-		line.Source = node
+		entry.Source = node
 	}
-	at, _ := fields["ts"].(string)
-	line.Time, _ = time.Parse(timeLayout, at)
-	line.Level, _ = fields["level"].(string)
-	line.Part, _ = fields["logger"].(string)
-	line.Message, _ = fields["msg"].(string)
-	for _, key := range headKeys {
+	timestamp, _ := fields["ts"].(string)
+	entry.Time, _ = time.Parse(timeLayout, timestamp)
+	entry.Level, _ = fields["level"].(string)
+	entry.Logger, _ = fields["logger"].(string)
+	entry.Message, _ = fields["msg"].(string)
+	for _, key := range commonFields {
 		delete(fields, key)
 	}
-	for _, key := range keysOfIDs {
-		line.about[key], _ = fields[key].(string)
+	for _, key := range idFields {
+		entry.ids[key], _ = fields[key].(string)
 	}
-	return line, line.Message != ""
+	return entry, entry.Message != ""
 }
 
-// Story is the life of one id.
-type Story struct {
+// History holds the log entries about one ID.
+type History struct {
 	ID string
-	// Own are the lines about the id, Around those that may have touched it; both
-	// in the order of time.
-	Own, Around []Line
+	// Entries are about the ID itself; Related entries may have affected it. Both
+	// are in chronological order.
+	Entries, Related []Entry
 }
 
-// Explain picks the lines of an id, and what happened to the nodes, servers and
-// store that it met, while it lived.
-func Explain(id string, lines []Line) Story {
-	story := Story{ID: id}
-	met := make(map[string]bool)
-	ofJob := false
-	for _, line := range lines {
-		if line.isAbout(id) {
-			story.Own = append(story.Own, line)
-			line.meet(met)
-			ofJob = ofJob || line.about["job"] != ""
+// Explain returns the entries about an ID, and those about the nodes, servers and
+// store involved in it during its lifetime.
+func Explain(id string, entries []Entry) History {
+	history := History{ID: id}
+	participants := make(map[string]bool)
+	belongsToJob := false
+	for _, entry := range entries {
+		if entry.hasID(id) {
+			history.Entries = append(history.Entries, entry)
+			entry.addParticipants(participants)
+			belongsToJob = belongsToJob || entry.ids["job"] != ""
 		}
 	}
-	if len(story.Own) == 0 {
-		return story
+	if len(history.Entries) == 0 {
+		return history
 	}
-	slices.SortStableFunc(story.Own, byTime)
-	from := story.Own[0].Time.Add(-margin)
-	to := story.Own[len(story.Own)-1].Time.Add(margin)
-	fingerprints := fingerprintsOf(story.Own)
-	for _, line := range lines {
-		if line.isAbout(id) {
+	slices.SortStableFunc(history.Entries, compareByTime)
+	from := history.Entries[0].Time.Add(-contextMargin)
+	to := history.Entries[len(history.Entries)-1].Time.Add(contextMargin)
+	fingerprints := fingerprintsOf(history.Entries)
+	for _, entry := range entries {
+		if entry.hasID(id) {
 			continue
 		}
-		lived := !line.Time.Before(from) && !line.Time.After(to)
-		if lived && line.touches(met, ofJob) || line.tellsOf(fingerprints) {
-			story.Around = append(story.Around, line)
+		inLifetime := !entry.Time.Before(from) && !entry.Time.After(to)
+		if inLifetime && entry.isRelated(participants, belongsToJob) || entry.matchesFingerprint(fingerprints) {
+			history.Related = append(history.Related, entry)
 		}
 	}
-	slices.SortStableFunc(story.Around, byTime)
-	return story
+	slices.SortStableFunc(history.Related, compareByTime)
+	return history
 }
 
-// fingerprintsOf returns the fingerprints that lines name, shortened as in all of them.
-func fingerprintsOf(lines []Line) []string {
+// fingerprintsOf returns the shortened request fingerprints in the entries.
+func fingerprintsOf(entries []Entry) []string {
 	var fingerprints []string
-	for _, line := range lines {
-		if fingerprint, ok := line.Fields["fingerprint"].(string); ok {
+	for _, entry := range entries {
+		if fingerprint, ok := entry.Fields["fingerprint"].(string); ok {
 			fingerprints = append(fingerprints, fingerprint)
 		}
 	}
 	return fingerprints
 }
 
-// tellsOf says whether a line tells what is known against a request, by its fingerprint. What had
-// it held may have been seen at other nodes, and long before.
-func (l Line) tellsOf(fingerprints []string) bool {
-	if l.Part != "quarantine" {
+// matchesFingerprint reports whether the entry comes from the quarantine and
+// concerns one of the request fingerprints. Such entries aren't limited in time or
+// node: the server crashes that led to a request's quarantine may have been seen
+// by other nodes and long before.
+func (e Entry) matchesFingerprint(fingerprints []string) bool {
+	if e.Logger != "quarantine" {
 		return false
 	}
-	named, _ := l.Fields["fingerprints"].([]any)
-	named = append(named, l.Fields["fingerprint"])
-	for _, name := range named {
-		text, _ := name.(string)
+	logged, _ := e.Fields["fingerprints"].([]any)
+	logged = append(logged, e.Fields["fingerprint"])
+	for _, value := range logged {
+		text, _ := value.(string)
 		if slices.ContainsFunc(fingerprints, func(fingerprint string) bool { return strings.HasPrefix(text, fingerprint) }) {
 			return true
 		}
@@ -158,96 +162,96 @@
 	return false
 }
 
-func byTime(a, b Line) int {
+func compareByTime(a, b Entry) int {
 	return cmp.Or(a.Time.Compare(b.Time), cmp.Compare(a.Source, b.Source))
 }
 
-func (l Line) isAbout(id string) bool {
-	for _, key := range keysOfIDs {
-		if l.about[key] == id {
+func (e Entry) hasID(id string) bool {
+	for _, key := range idFields {
+		if e.ids[key] == id {
 			return true
 		}
 	}
 	return false
 }
 
-// meet notes the servers and the node of a line.
-func (l Line) meet(met map[string]bool) {
-	met[l.Source] = true
-	if server, ok := l.Fields["server"].(string); ok {
-		met[server] = true
+// addParticipants adds the node and the servers of the entry.
+func (e Entry) addParticipants(participants map[string]bool) {
+	participants[e.Source] = true
+	if server, ok := e.Fields["server"].(string); ok {
+		participants[server] = true
 	}
-	servers, _ := l.Fields["servers"].([]any)
+	servers, _ := e.Fields["servers"].([]any)
 	for _, server := range servers {
 		if name, ok := server.(string); ok {
-			met[name] = true
+			participants[name] = true
 		}
 	}
 }
 
-// aboutNode are the messages that concern all that a node does.
-var aboutNode = map[string]bool{
+// nodeMessages are the messages that affect all operations of a node.
+var nodeMessages = map[string]bool{
 	"store lost": true, "store regained": true, "started": true, "stopped": true, "leaving": true, "configuration in force": true,
 }
 
-// aboutAll are the messages that concern every batch job.
-var aboutAll = map[string]bool{"lease taken": true, "lease lost": true, "holder ended": true}
+// allJobsMessages are the messages that affect all batch jobs.
+var allJobsMessages = map[string]bool{"lease taken": true, "lease lost": true, "holder ended": true}
 
-func (l Line) touches(met map[string]bool, ofJob bool) bool {
-	if ofJob && aboutAll[l.Message] || aboutNode[l.Message] && met[l.Source] {
+func (e Entry) isRelated(participants map[string]bool, belongsToJob bool) bool {
+	if belongsToJob && allJobsMessages[e.Message] || nodeMessages[e.Message] && participants[e.Source] {
 		return true
 	}
-	server, _ := l.Fields["server"].(string)
-	return met[server] && (l.Message == "server gone" || l.Message == "server changed") && met[l.Source] ||
-		met[server] && l.Message == "load ordered"
+	server, _ := e.Fields["server"].(string)
+	return participants[server] && (e.Message == "server gone" || e.Message == "server changed") && participants[e.Source] ||
+		participants[server] && e.Message == "load ordered"
 }
 
-// Write prints a story.
-func (s Story) Write(w io.Writer) error {
-	if len(s.Own) == 0 {
-		_, err := fmt.Fprintf(w, "%s: no line is about it\n", s.ID)
+// Write prints the history.
+func (h History) Write(w io.Writer) error {
+	if len(h.Entries) == 0 {
+		_, err := fmt.Fprintf(w, "%s: no line is about it\n", h.ID)
 		return err
 	}
-	if err := writeLines(w, s.ID, s.Own); err != nil {
+	if err := writeEntries(w, h.ID, h.Entries); err != nil {
 		return err
 	}
-	return writeFolded(w, "meanwhile", fold(s.Around))
+	return writeGroups(w, "meanwhile", collapseRepeated(h.Related))
 }
 
-func writeLines(w io.Writer, title string, lines []Line) error {
-	if len(lines) == 0 {
+func writeEntries(w io.Writer, title string, entries []Entry) error {
+	if len(entries) == 0 {
 		return nil
 	}
 	if _, err := fmt.Fprintf(w, "%s\n", title); err != nil {
 		return err
 	}
-	for _, line := range lines {
-		if err := writeLine(w, line); err != nil {
+	for _, entry := range entries {
+		if err := writeEntry(w, entry); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// clockLayout is the layout of times that are told.
+// clockLayout is the format of printed times.
 const clockLayout = "15:04:05.000"
 
-func writeLine(w io.Writer, line Line) error {
+func writeEntry(w io.Writer, entry Entry) error {
 	_, err := fmt.Fprintf(w, "  %s  %-20s %s: %s%s\n",
-		line.Time.Format(clockLayout), line.Source, line.Part, line.Message, line.details())
+		entry.Time.Format(clockLayout), entry.Source, entry.Logger, entry.Message, entry.formatFields())
 	return err
 }
 
-// details renders the fields in the order of their names.
-func (l Line) details() string {
+// formatFields formats the fields, sorted by name, and omits empty ones.
+func (e Entry) formatFields() string {
 	var text strings.Builder
-	keys := make([]string, 0, len(l.Fields))
-	for key := range l.Fields {
+	keys := make([]string, 0, len(e.Fields))
+	for key := range e.Fields {
 		keys = append(keys, key)
 	}
 	slices.Sort(keys)
 	for _, key := range keys {
-		value, err := json.Marshal(l.Fields[key])
+		value, err := json.Marshal(e.Fields[key])
 		if err != nil || string(value) == `""` || string(value) == "null" {
 			continue
 		}
--- a/internal/explain/steps.go
+++ b/internal/explain/steps.go
@@ -9,145 +9,151 @@
 	"time"
 )
 
-// Step is the time of one batch job, from its submission to its end, and of the item that it
-// waited for longest.
-type Step struct {
+// StepTiming holds the durations of one batch job from its submission to its end,
+// and those of the item that it waited for longest.
+type StepTiming struct {
 	Job   string
 	Model string
-	// Number counts the steps of a trainer from 0.
+	// Number is the trainer's step number, starting at 0.
 	Number int
-	// Posted is when the job was submitted.
-	Posted time.Time
-	// Ready is from then until the wanted groups had all their texts, Listed until the last of
-	// these stood in the log, Ended until the trainer ended the job; 0 where that is not in the
-	// logs.
+	// Submitted is the time of the job's submission.
+	Submitted time.Time
+	// Ready is the time from submission until all items of the wanted groups were
+	// completed, Listed until the last of these was logged as finished, Ended until
+	// the trainer ended the job. Each is 0 if the logs don't show it.
 	Ready, Listed, Ended time.Duration
-	// Last is the item that was ready last of the wanted groups.
+	// Last is the item of the wanted groups that was completed last.
 	Last LastItem
 }
 
-// LastItem is the item that a step waited for.
+// LastItem describes the item that a step waited for.
 type LastItem struct {
 	Item   string
 	Events int
-	// Runs is the number of runs that made its text, Servers are where.
-	Runs    int
-	Servers []string
-	// Start is from the job's submission to the first run, Between the time between runs,
-	// Running that of all runs, Floor what its events take at the fastest engine of the logs.
-	Start, Between, Running, Floor time.Duration
+	// Attempts is the number of attempts up to completion; Servers are the servers
+	// that ran them.
+	Attempts int
+	Servers  []string
+	// StartDelay is the time from the job's submission to the first attempt, IdleTime
+	// the time between attempts, RunTime the total time of all attempts, and Floor
+	// the time that the item's events take at the speed of the fastest engine in the
+	// logs.
+	StartDelay, IdleTime, RunTime, Floor time.Duration
 }
 
-// The messages that tell of steps.
+// Log messages that steps are measured by.
 const (
-	messageSubmitted = "batch job submitted"
-	messageEnded     = "batch job ended"
-	messageRun       = "item attempt ended"
-	messageListed    = "item finished"
+	messageJobSubmitted = "batch job submitted"
+	messageJobEnded     = "batch job ended"
+	messageAttemptEnded = "item attempt ended"
+	messageItemFinished = "item finished"
 )
 
-// paceEvents is the number of events from which on a run tells an engine's pace.
-const paceEvents = 20
+// minSampleEvents is the number of events that an attempt needs to count as a sample
+// of an engine's time per event.
+const minSampleEvents = 20
 
-// run is one run of an item.
-type run struct {
-	began, ended time.Time
-	events       int
-	server       string
-	completed    bool
+// attempt is one attempt of an item.
+type attempt struct {
+	started, ended time.Time
+	events         int
+	server         string
+	completed      bool
 }
 
-// jobLines is what the logs say of a job.
-type jobLines struct {
-	step   Step
-	wanted int
-	runs   map[string][]run
-	groups map[string][]string
-	listed map[string]time.Time
-	ended  time.Time
+// jobLog collects the log entries of a job.
+type jobLog struct {
+	timing       StepTiming
+	wantedGroups int
+	attempts     map[string][]attempt
+	groups       map[string][]string
+	listed       map[string]time.Time
+	ended        time.Time
 }
 
-// Steps returns the steps that the logs hold whole, by model and number.
-func Steps(lines []Line) []Step {
-	jobs := make(map[string]*jobLines)
-	lines = slices.Clone(lines)
-	slices.SortStableFunc(lines, byTime)
-	for _, line := range lines {
-		collect(jobs, line)
+// Steps returns the timings of the steps that are completely in the logs, sorted by
+// model and step number.
+func Steps(entries []Entry) []StepTiming {
+	jobs := make(map[string]*jobLog)
+	entries = slices.Clone(entries)
+	slices.SortStableFunc(entries, compareByTime)
+	for _, entry := range entries {
+		addEntry(jobs, entry)
 	}
-	pace := fastestPace(jobs)
-	var steps []Step
+	timePerEvent := minTimePerEvent(jobs)
+	var timings []StepTiming
 	for _, job := range jobs {
-		if step, whole := job.measure(pace); whole {
-			steps = append(steps, step)
+		if timing, complete := job.measure(timePerEvent); complete {
+			timings = append(timings, timing)
 		}
 	}
-	slices.SortFunc(steps, func(a, b Step) int {
+	slices.SortFunc(timings, func(a, b StepTiming) int {
 		return cmp.Or(cmp.Compare(a.Model, b.Model), cmp.Compare(a.Number, b.Number), cmp.Compare(a.Job, b.Job))
 	})
-	return steps
+	return timings
 }
 
-func collect(jobs map[string]*jobLines, line Line) {
-	id := line.about["job"]
+func addEntry(jobs map[string]*jobLog, entry Entry) {
+	id := entry.ids["job"]
 	if id == "" {
 		return
 	}
 	job := jobs[id]
 	if job == nil {
-		job = &jobLines{runs: make(map[string][]run), groups: make(map[string][]string), listed: make(map[string]time.Time)}
+		job = &jobLog{attempts: make(map[string][]attempt), groups: make(map[string][]string), listed: make(map[string]time.Time)}
 		jobs[id] = job
 	}
-	item := line.about["item"]
-	switch line.Message {
-	case messageSubmitted:
-		if job.step.Posted.IsZero() {
-			job.step = Step{Job: id, Model: line.text("model"), Number: line.number("step"), Posted: line.Time}
-			job.wanted = line.number("wanted_groups")
+	item := entry.ids["item"]
+	switch entry.Message {
+	case messageJobSubmitted:
+		if job.timing.Submitted.IsZero() {
+			job.timing = StepTiming{Job: id, Model: entry.stringField("model"), Number: entry.intField("step"), Submitted: entry.Time}
+			job.wantedGroups = entry.intField("wanted_groups")
 		}
-	case messageEnded:
+	case messageJobEnded:
 		if job.ended.IsZero() {
-			job.ended = line.Time
+			job.ended = entry.Time
 		}
-	case messageListed:
-		if _, known := job.listed[item]; !known {
-			job.listed[item] = line.Time
+	case messageItemFinished:
+		if _, listed := job.listed[item]; !listed {
+			job.listed[item] = entry.Time
 		}
-	case messageRun:
-		if len(job.runs[item]) == 0 {
-			group := line.text("group")
+	case messageAttemptEnded:
+		if len(job.attempts[item]) == 0 {
+			group := entry.stringField("group")
 			job.groups[group] = append(job.groups[group], item)
 		}
-		took := time.Duration(line.number("took")) * time.Millisecond
-		job.runs[item] = append(job.runs[item], run{
-			began: line.Time.Add(-took), ended: line.Time, events: line.number("events"),
-			server: line.text("server"), completed: line.text("reason") == "completed",
+		took := time.Duration(entry.intField("took")) * time.Millisecond
+		job.attempts[item] = append(job.attempts[item], attempt{
+			started: entry.Time.Add(-took), ended: entry.Time, events: entry.intField("events"),
+			server: entry.stringField("server"), completed: entry.stringField("reason") == "completed",
 		})
 	}
 }
 
-func (l Line) text(field string) string {
-	text, _ := l.Fields[field].(string)
+func (e Entry) stringField(field string) string {
+	text, _ := e.Fields[field].(string)
 	return text
 }
 
-func (l Line) number(field string) int {
-	number, _ := l.Fields[field].(float64)
+func (e Entry) intField(field string) int {
+	number, _ := e.Fields[field].(float64)
 	return int(number)
 }
 
-// fastestPace returns the shortest time for an event of all runs that are long enough.
-func fastestPace(jobs map[string]*jobLines) time.Duration {
+// minTimePerEvent returns the shortest time per event of all completed attempts
+// with at least minSampleEvents events.
+func minTimePerEvent(jobs map[string]*jobLog) time.Duration {
 	fastest := time.Duration(0)
 	for _, job := range jobs {
-		for _, runs := range job.runs {
-			for _, made := range runs {
-				if made.events < paceEvents || !made.completed {
+		for _, attempts := range job.attempts {
+			for _, attempt := range attempts {
+				if attempt.events < minSampleEvents || !attempt.completed {
 					continue
 				}
-				pace := made.ended.Sub(made.began) / time.Duration(made.events)
-				if fastest == 0 || pace < fastest {
-					fastest = pace
+				timePerEvent := attempt.ended.Sub(attempt.started) / time.Duration(attempt.events)
+				if fastest == 0 || timePerEvent < fastest {
+					fastest = timePerEvent
 				}
 			}
 		}
@@ -155,9 +161,9 @@
 	return fastest
 }
 
-// measure tells a step's times; whole is false where its wanted groups did not become ready in
-// the logs.
-func (j *jobLines) measure(pace time.Duration) (step Step, whole bool) {
+// measure computes a step's timing; complete is false if the logs don't show that
+// the wanted groups were completed.
+func (j *jobLog) measure(timePerEvent time.Duration) (timing StepTiming, complete bool) {
 	type groupEnd struct {
 		item string
 		at   time.Time
@@ -166,7 +172,7 @@
 	for _, items := range j.groups {
 		last := groupEnd{}
 		for _, item := range items {
-			at := readyAt(j.runs[item])
+			at := completedAt(j.attempts[item])
 			if at.IsZero() {
 				last = groupEnd{}
 				break
@@ -179,82 +185,82 @@
 			ends = append(ends, last)
 		}
 	}
-	if j.step.Posted.IsZero() || j.wanted == 0 || len(ends) < j.wanted {
-		return Step{}, false
+	if j.timing.Submitted.IsZero() || j.wantedGroups == 0 || len(ends) < j.wantedGroups {
+		return StepTiming{}, false
 	}
 	slices.SortFunc(ends, func(a, b groupEnd) int { return a.at.Compare(b.at) })
-	last := ends[j.wanted-1]
-	step = j.step
-	step.Ready = last.at.Sub(step.Posted)
-	step.Last = lastItem(last.item, step.Posted, j.runs[last.item], pace)
+	last := ends[j.wantedGroups-1]
+	timing = j.timing
+	timing.Ready = last.at.Sub(timing.Submitted)
+	timing.Last = newLastItem(last.item, timing.Submitted, j.attempts[last.item], timePerEvent)
 	if at, listed := j.listed[last.item]; listed {
-		step.Listed = at.Sub(step.Posted)
+		timing.Listed = at.Sub(timing.Submitted)
 	}
 	if !j.ended.IsZero() {
-		step.Ended = j.ended.Sub(step.Posted)
+		timing.Ended = j.ended.Sub(timing.Submitted)
 	}
-	return step, true
+	return timing, true
 }
 
-// readyAt returns when an item's text was whole; zero when it was not.
-func readyAt(runs []run) time.Time {
-	for _, made := range runs {
-		if made.completed {
-			return made.ended
+// completedAt returns the time at which an item was completed, zero if it wasn't.
+func completedAt(attempts []attempt) time.Time {
+	for _, attempt := range attempts {
+		if attempt.completed {
+			return attempt.ended
 		}
 	}
 	return time.Time{}
 }
 
-func lastItem(item string, posted time.Time, runs []run, pace time.Duration) LastItem {
-	last := LastItem{Item: item, Start: runs[0].began.Sub(posted)}
-	before := runs[0].began
-	for _, made := range runs {
-		last.Runs++
-		last.Events += made.events
-		last.Servers = append(last.Servers, made.server)
-		last.Between += max(made.began.Sub(before), 0)
-		last.Running += made.ended.Sub(made.began)
-		before = made.ended
-		if made.completed {
+func newLastItem(item string, submitted time.Time, attempts []attempt, timePerEvent time.Duration) LastItem {
+	lastItem := LastItem{Item: item, StartDelay: attempts[0].started.Sub(submitted)}
+	previousEnd := attempts[0].started
+	for _, attempt := range attempts {
+		lastItem.Attempts++
+		lastItem.Events += attempt.events
+		lastItem.Servers = append(lastItem.Servers, attempt.server)
+		lastItem.IdleTime += max(attempt.started.Sub(previousEnd), 0)
+		lastItem.RunTime += attempt.ended.Sub(attempt.started)
+		previousEnd = attempt.ended
+		if attempt.completed {
 			break
 		}
 	}
-	last.Floor = time.Duration(last.Events) * pace
-	return last
+	lastItem.Floor = time.Duration(lastItem.Events) * timePerEvent
+	return lastItem
 }
 
-// WriteSteps prints steps as a table, in seconds, and their means.
-func WriteSteps(w io.Writer, steps []Step) error {
-	if len(steps) == 0 {
+// WriteSteps prints the timings as a table in seconds, with their means.
+func WriteSteps(w io.Writer, timings []StepTiming) error {
+	if len(timings) == 0 {
 		_, err := fmt.Fprintln(w, "no whole step is in the logs")
 		return err
 	}
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(table, "model\tstep\tjob\tposted\tfloor\tlate start\tbetween runs\tslow\tready\tlisted\tended\truns\tlast item\t")
-	var sum Step
-	for _, step := range steps {
-		last := step.Last
-		fmt.Fprintf(table, "%s\t%d\t%s\t%s\t%s\t%d\t%s\t\n", step.Model, step.Number, step.Job, step.Posted.Format(clockLayout),
-			step.columns(), last.Runs, last.Item)
-		sum.Ready, sum.Listed, sum.Ended = sum.Ready+step.Ready, sum.Listed+step.Listed, sum.Ended+step.Ended
-		sum.Last.Start, sum.Last.Between = sum.Last.Start+last.Start, sum.Last.Between+last.Between
-		sum.Last.Running, sum.Last.Floor = sum.Last.Running+last.Running, sum.Last.Floor+last.Floor
+	var total StepTiming
+	for _, timing := range timings {
+		last := timing.Last
+		fmt.Fprintf(table, "%s\t%d\t%s\t%s\t%s\t%d\t%s\t\n", timing.Model, timing.Number, timing.Job, timing.Submitted.Format(clockLayout),
+			timing.formatTimes(), last.Attempts, last.Item)
+		total.Ready, total.Listed, total.Ended = total.Ready+timing.Ready, total.Listed+timing.Listed, total.Ended+timing.Ended
+		total.Last.StartDelay, total.Last.IdleTime = total.Last.StartDelay+last.StartDelay, total.Last.IdleTime+last.IdleTime
+		total.Last.RunTime, total.Last.Floor = total.Last.RunTime+last.RunTime, total.Last.Floor+last.Floor
 	}
-	fmt.Fprintf(table, "mean\t%d\t\t\t%s\t\t\t\n", len(steps), sum.dividedBy(len(steps)).columns())
+	fmt.Fprintf(table, "mean\t%d\t\t\t%s\t\t\t\n", len(timings), total.dividedBy(len(timings)).formatTimes())
 	return table.Flush()
 }
 
-// columns renders the times of a step that the table shows.
-func (s Step) columns() string {
-	seconds := func(length time.Duration) string { return fmt.Sprintf("%.2f", length.Seconds()) }
-	return fmt.Sprintf("%s\t%s\t%s\t%s\t%s\t%s\t%s", seconds(s.Last.Floor), seconds(s.Last.Start), seconds(s.Last.Between),
-		seconds(s.Last.Running-s.Last.Floor), seconds(s.Ready), seconds(s.Listed), seconds(s.Ended))
+// formatTimes formats the duration columns of the table.
+func (t StepTiming) formatTimes() string {
+	seconds := func(duration time.Duration) string { return fmt.Sprintf("%.2f", duration.Seconds()) }
+	return fmt.Sprintf("%s\t%s\t%s\t%s\t%s\t%s\t%s", seconds(t.Last.Floor), seconds(t.Last.StartDelay), seconds(t.Last.IdleTime),
+		seconds(t.Last.RunTime-t.Last.Floor), seconds(t.Ready), seconds(t.Listed), seconds(t.Ended))
 }
 
-func (s Step) dividedBy(count int) Step {
+func (t StepTiming) dividedBy(count int) StepTiming {
 	n := time.Duration(count)
-	return Step{Ready: s.Ready / n, Listed: s.Listed / n, Ended: s.Ended / n, Last: LastItem{
-		Start: s.Last.Start / n, Between: s.Last.Between / n, Running: s.Last.Running / n, Floor: s.Last.Floor / n,
+	return StepTiming{Ready: t.Ready / n, Listed: t.Listed / n, Ended: t.Ended / n, Last: LastItem{
+		StartDelay: t.Last.StartDelay / n, IdleTime: t.Last.IdleTime / n, RunTime: t.Last.RunTime / n, Floor: t.Last.Floor / n,
 	}}
 }
--- a/internal/explain/steps_test.go
+++ b/internal/explain/steps_test.go
@@ -8,9 +8,9 @@
 	"github.com/sebdah/goldie/v2"
 )
 
-// stepLog is the log of one step of two wanted groups of three, and of one that never became
-// ready. The last item of the wanted groups is b-1: it began late, was moved, and was listed
-// after its text was whole.
+// stepLog is the log of a step that wants two of its three groups, and of a step that
+// never completed. The last item of the wanted groups is b-1: it started late, moved
+// to another server, and was logged as finished after its completion.
 const stepLog = `
 {"level":"info","ts":"2026-01-01T00:00:00.000Z","logger":"node","msg":"batch job submitted","node":"n","job":"j","model":"m","step":3,"wanted_groups":2}
 {"level":"info","ts":"2026-01-01T00:00:02.000Z","logger":"coordinator","msg":"item attempt ended","node":"n","job":"j","item":"a-1","group":"a","events":40,"server":"s-1","reason":"completed","took":2000}
@@ -24,18 +24,18 @@
 `
 
 func TestSteps(t *testing.T) {
-	lines, err := Read("n", strings.NewReader(stepLog))
+	entries, err := Read("n", strings.NewReader(stepLog))
 	if err != nil {
 		t.Fatal(err)
 	}
 	var text bytes.Buffer
-	if err := WriteSteps(&text, Steps(lines)); err != nil {
+	if err := WriteSteps(&text, Steps(entries)); err != nil {
 		t.Fatal(err)
 	}
 	goldie.New(t).Assert(t, "steps", text.Bytes())
 }
 
-func TestNoStep(t *testing.T) {
+func TestWriteStepsWithoutSteps(t *testing.T) {
 	var text bytes.Buffer
 	if err := WriteSteps(&text, Steps(nil)); err != nil || !strings.Contains(text.String(), "no whole step") {
 		t.Errorf("%q, %v", text.String(), err)
