--- a/cmd/dalehook/failure_load_test.go
+++ b/cmd/dalehook/failure_load_test.go
@@ -137,12 +137,12 @@
 			return err
 		})
 		if err != nil {
-			l.w.fault("post %s: %v", step.Step, err)
+			l.w.fault("post %s: %v", step.ID, err)
 			return
 		}
 		l.w.ledger.Posted(step, stalenessBound)
-		if err := l.readStep(&turn, step.Step, ""); err != nil {
-			l.w.fault("read %s: %v", step.Step, err)
+		if err := l.readStep(&turn, step.ID, ""); err != nil {
+			l.w.fault("read %s: %v", step.ID, err)
 			return
 		}
 		l.steps.Add(1)
@@ -152,7 +152,7 @@
 // makeStep makes a step whose prompts are all different.
 func (l *load) makeStep(number int) client.Step {
 	name := fmt.Sprintf("captions-%d", number)
-	step := client.Step{Event: testEvent, Trainer: "captions", Step: name}
+	step := client.Step{Event: testEvent, Trainer: "captions", ID: name}
 	prompts := map[string]string{}
 	for i := range samplesPerStep {
 		least, most := shortTokens, longTokens/4
@@ -186,11 +186,11 @@
 func (l *load) readStep(turn *int, step, cursor string) error {
 	reads := 0
 	for {
-		var page client.Page
+		var page client.SamplesPage
 		newest := cluster.Version(0)
 		err := l.try(turn, func(node *client.Client) (err error) {
 			newest = l.w.ledger.Newest()
-			page, err = node.ReadSamples(l.w.ctx, client.Read{Step: step, After: cursor, Wait: time.Second, Version: newest})
+			page, err = node.ReadSamples(l.w.ctx, client.ReadRequest{Step: step, Cursor: cursor, MaxWait: time.Second, Version: newest})
 			return err
 		})
 		if err != nil {
@@ -228,7 +228,7 @@
 		if l.strict {
 			l.w.fault("trainer at %s: %v", n.id, err)
 		}
-		if client.IsFinal(err) || time.Since(start) > patience || l.w.ctx.Err() != nil {
+		if client.IsPermanent(err) || time.Since(start) > patience || l.w.ctx.Err() != nil {
 			return err
 		}
 		*turn++
@@ -261,7 +261,7 @@
 func save(id string) client.Call {
 	return client.Call{
 		Method: http.MethodPost, Service: testService, Path: "/saves/" + id, Body: `{"line":"` + id + `"}`,
-		Key: "save-" + id, Unrepeatable: true, Deadline: callTimeout,
+		IdempotencyKey: "save-" + id, Unrepeatable: true, Deadline: callTimeout,
 	}
 }
 
@@ -298,13 +298,13 @@
 
 // judge says what a caller learned from an answer; the answer must be its own
 // and whole.
-func judge(call client.Call, answer client.CallAnswer, err error) (requestOutcome, string) {
+func judge(call client.Call, answer client.CallResponse, err error) (requestOutcome, string) {
 	if err != nil {
 		return outcomeUnknown, err.Error()
 	}
 	if answer.Status != http.StatusOK {
-		var body struct{ Error client.Refusal }
-		if json.Unmarshal(answer.Body, &body) == nil && body.Error.NotRun {
+		var body struct{ Error client.APIError }
+		if json.Unmarshal(answer.Body, &body) == nil && body.Error.NotExecuted {
 			return outcomeNotRun, string(answer.Body)
 		}
 		return outcomeUnknown, fmt.Sprintf("status %d: %s", answer.Status, answer.Body)
@@ -314,7 +314,7 @@
 		return outcomeUnknown, "broken answer " + string(answer.Body)
 	}
 	digest := sha256.Sum256([]byte(call.Body))
-	if echo.Path != call.Path || echo.Key != call.Key || echo.BodyDigest != hex.EncodeToString(digest[:]) {
+	if echo.Path != call.Path || echo.Key != call.IdempotencyKey || echo.BodyDigest != hex.EncodeToString(digest[:]) {
 		return outcomeUnknown, "broken answer: it belongs to " + echo.Path
 	}
 	return outcomeAnswered, ""
@@ -378,14 +378,14 @@
 		tally[r.outcome]++
 		count := runs[r.call.Path]
 		if r.call.Unrepeatable {
-			count = runs[r.call.Key]
+			count = runs[r.call.IdempotencyKey]
 		}
 		lost := errors.New(r.last)
 		switch {
 		case strings.Contains(r.last, "broken answer"):
 			l.w.t.Errorf("request %s: %v", r.call.Path, lost)
 		case r.call.Unrepeatable && count > 1:
-			l.w.t.Errorf("save %s ran %d times", r.call.Key, count)
+			l.w.t.Errorf("save %s ran %d times", r.call.IdempotencyKey, count)
 		case r.outcome == outcomeAnswered && count == 0:
 			l.w.t.Errorf("request %s was answered and never ran", r.call.Path)
 		case count > 0 && (r.alwaysNotRun || r.call.Unrepeatable && r.outcome == outcomeNotRun):
--- a/cmd/dalehook/failure_stop_test.go
+++ b/cmd/dalehook/failure_stop_test.go
@@ -72,8 +72,8 @@
 	l.w.await("the open requests to run", func() error {
 		runs := l.w.runs()
 		for i := range openEach {
-			if runs[o.lookups[i].Path] == 0 || runs[o.saves[i].Key] == 0 {
-				return fmt.Errorf("%s does not run", o.saves[i].Key)
+			if runs[o.lookups[i].Path] == 0 || runs[o.saves[i].IdempotencyKey] == 0 {
+				return fmt.Errorf("%s does not run", o.saves[i].IdempotencyKey)
 			}
 		}
 		return nil
@@ -110,9 +110,9 @@
 	for standin.AnswerLength(sample.Prompt, maxTokens) < maxTokens {
 		sample.Prompt += "."
 	}
-	step := client.Step{Event: testEvent, Trainer: "captions", Step: "poll-" + o.at.id, Samples: []record.Sample{sample}}
+	step := client.Step{Event: testEvent, Trainer: "captions", ID: "poll-" + o.at.id, Samples: []record.Sample{sample}}
 	o.l.mu.Lock()
-	o.l.prompts[step.Step] = map[string]string{sample.ID: sample.Prompt}
+	o.l.prompts[step.ID] = map[string]string{sample.ID: sample.Prompt}
 	o.l.mu.Unlock()
 	api := o.at.apiWithin(openTimeout)
 	_, err := api.PostStep(w.ctx, step)
@@ -120,17 +120,17 @@
 	w.ledger.Posted(step, stalenessBound)
 	o.open.Go(func() {
 		newest := w.ledger.Newest()
-		page, err := api.ReadSamples(w.ctx, client.Read{Step: step.Step, Wait: openTimeout, Version: newest})
+		page, err := api.ReadSamples(w.ctx, client.ReadRequest{Step: step.ID, MaxWait: openTimeout, Version: newest})
 		if err != nil {
 			w.fault("the long poll at %s was cut: %v", o.at.id, err)
 			return
 		}
 		// A node that leaves may answer before there is a sample; the rest is
 		// read at any node.
-		o.l.take(step.Step, newest, page.Samples)
+		o.l.take(step.ID, newest, page.Samples)
 		turn := 0
-		if err := o.l.readStep(&turn, step.Step, page.Cursor); err != nil {
-			w.fault("read %s: %v", step.Step, err)
+		if err := o.l.readStep(&turn, step.ID, page.Cursor); err != nil {
+			w.fault("read %s: %v", step.ID, err)
 		}
 	})
 }
--- a/cmd/dalehook/failure_store_test.go
+++ b/cmd/dalehook/failure_store_test.go
@@ -19,9 +19,9 @@
 )
 
 // refusalOf returns the refusal that an error holds.
-func refusalOf(t *testing.T, err error) *client.Refusal {
+func refusalOf(t *testing.T, err error) *client.APIError {
 	t.Helper()
-	var refusal *client.Refusal
+	var refusal *client.APIError
 	if !errors.As(err, &refusal) {
 		t.Fatalf("got %v, want a refusal", err)
 	}
@@ -32,7 +32,7 @@
 func checkStoreRefusal(t *testing.T, what string, took time.Duration, err error) {
 	t.Helper()
 	refusal := refusalOf(t, err)
-	if refusal.Status != http.StatusServiceUnavailable || refusal.Code != string(machine.CodeStoreDown) || !refusal.NotRun || refusal.RetryAfter() <= 0 {
+	if refusal.Status != http.StatusServiceUnavailable || refusal.Code != string(machine.CodeStoreDown) || !refusal.NotExecuted || refusal.RetryAfter() <= 0 {
 		t.Errorf("%s: %+v, want 503 %s, not run, with a time to come back", what, refusal, machine.CodeStoreDown)
 	}
 	t.Logf("%s: refused after %v: %v, retry after %v", what, took.Round(time.Millisecond), refusal, refusal.RetryAfter())
@@ -56,7 +56,7 @@
 // have the configuration.
 func TestFailureStoreDown(t *testing.T) {
 	w := newWorld(t, worldOptions{})
-	plan, err := w.live()[0].api.MakePlan(w.ctx, w.event("water-board"))
+	plan, err := w.live()[0].api.CreatePlan(w.ctx, w.event("water-board"))
 	w.must(err)
 	l := w.startLoad(false)
 	owner, step := w.awaitOwner()
@@ -101,10 +101,10 @@
 	w.setFault(w.platform, standin.FaultStoreDown, 0)
 	l.awaitWork(1, 100)
 
-	if _, err := others[1].apiWithin(callTimeout).ReadSamples(w.ctx, client.Read{Step: refused.Step}); refusalOf(t, err).Status != http.StatusNotFound {
+	if _, err := others[1].apiWithin(callTimeout).ReadSamples(w.ctx, client.ReadRequest{Step: refused.ID}); refusalOf(t, err).Status != http.StatusNotFound {
 		t.Errorf("read of the refused step: %v, want that it is not known", err)
 	}
-	for id, prompt := range l.promptsOf(refused.Step) {
+	for id, prompt := range l.promptsOf(refused.ID) {
 		if w.tags.seen(prompt) {
 			t.Errorf("sample %s of the refused step ran", id)
 		}
@@ -170,10 +170,10 @@
 }
 
 // confirmUntilAnswered confirms at nodes in turn until the answer is final.
-func (w *world) confirmUntilAnswered(turn int, confirmation client.Confirmation) (confirmed client.Confirmed, err error) {
+func (w *world) confirmUntilAnswered(turn int, confirmation client.Confirmation) (confirmed client.ConfirmResponse, err error) {
 	for start := time.Now(); time.Since(start) < patience; turn++ {
 		confirmed, err = w.pick(turn).apiWithin(2*callTimeout).ConfirmPlan(w.ctx, confirmation)
-		if err == nil || client.IsFinal(err) {
+		if err == nil || client.IsPermanent(err) {
 			return confirmed, err
 		}
 	}
@@ -191,7 +191,7 @@
 		names := []string{fmt.Sprintf("event-%d-ana", round), fmt.Sprintf("event-%d-luis", round)}
 		var confirmations []client.Confirmation
 		for i, name := range names {
-			plan, err := w.live()[i].apiWithin(2*callTimeout).MakePlan(w.ctx, w.event(name))
+			plan, err := w.live()[i].apiWithin(2*callTimeout).CreatePlan(w.ctx, w.event(name))
 			w.must(err)
 			confirmations = append(confirmations, client.Confirmation{
 				Digest: plan.Plan.Digest, Revision: plan.Plan.Base, Operator: strings.TrimPrefix(name, fmt.Sprintf("event-%d-", round)), Plan: &plan.Plan,
@@ -206,7 +206,7 @@
 			racing.Go(func() {
 				ready.Done()
 				ready.Wait()
-				var confirmed client.Confirmed
+				var confirmed client.ConfirmResponse
 				confirmed, errs[i] = w.confirmUntilAnswered(i, confirmations[i])
 				revisions[i] = confirmed.Revision
 			})
@@ -222,7 +222,7 @@
 		w.accept(revisions[winner])
 		refusal := refusalOf(t, errs[loser])
 		named := strings.Contains(refusal.Message, names[winner]) || strings.Contains(refusal.Message, confirmations[winner].Digest)
-		if refusal.Status != http.StatusConflict || !refusal.NotRun || !named {
+		if refusal.Status != http.StatusConflict || !refusal.NotExecuted || !named {
 			t.Errorf("round %d: the loser got %+v, want a conflict that names %s", round, refusal, names[winner])
 		}
 		t.Logf("round %d: %s won with revision %d; the other got: %v", round, names[winner], revisions[winner], refusal)
--- a/cmd/dalehook/fleet_test.go
+++ b/cmd/dalehook/fleet_test.go
@@ -303,7 +303,7 @@
 			"-service", "service="+testService+",requests_per_caller=3,service_time=5ms,importance=10",
 			"-rollout", "trainer=captions,pool="+testPool+",model="+string(testModel)+
 				",samples_per_step=24,mean_tokens=60,max_tokens=600,step_every=1m,staleness_bound=2,importance=5")
-		var made client.PlanAnswer
+		var made client.PlanResponse
 		if err := json.Unmarshal([]byte(output), &made); err != nil {
 			return err
 		}
@@ -312,7 +312,7 @@
 		}
 		return os.WriteFile(path, []byte(output), 0o600)
 	})
-	var confirmed client.Confirmed
+	var confirmed client.ConfirmResponse
 	output := f.run("confirm", "-node", confirming.client, "-plan", path, "-operator", "ana", "-json")
 	if err := json.Unmarshal([]byte(output), &confirmed); err != nil {
 		f.t.Fatalf("decode %s: %v", output, err)
--- a/internal/client/caller.go
+++ b/internal/client/caller.go
@@ -11,11 +11,11 @@
 	"github.com/rotisserie/eris"
 )
 
-// The headers of a caller's request.
+// Headers of a caller's request.
 const (
-	headerKey        = "Idempotency-Key"
-	headerRepeatable = "Dalehook-Repeatable"
-	headerDeadline   = "Dalehook-Deadline-Ms"
+	headerIdempotencyKey = "Idempotency-Key"
+	headerRepeatable     = "Dalehook-Repeatable"
+	headerDeadline       = "Dalehook-Deadline-Ms"
 )
 
 // Call is a caller's request to a service.
@@ -25,46 +25,48 @@
 	// Path begins with a slash.
 	Path string
 	Body string
-	// Key names the request; it is required when Unrepeatable is set.
-	Key          string
-	Unrepeatable bool
-	// Deadline bounds the call, zero for the node's default.
+	// IdempotencyKey identifies the request; it is required if Unrepeatable is
+	// set.
+	IdempotencyKey string
+	Unrepeatable   bool
+	// Deadline is the request's deadline, zero for the node's default.
 	Deadline time.Duration
 }
 
-// CallAnswer is the whole answer to a Call.
-type CallAnswer struct {
+// CallResponse is the complete response to a Call.
+type CallResponse struct {
 	Status int
 	Header http.Header
 	Body   []byte
 }
 
-// Call sends a request to a service through the node. A call with a body is
-// sent once: the body can't be rewound, so net/http never repeats it by itself.
-func (c *Client) Call(ctx context.Context, call Call) (CallAnswer, error) {
-	target := c.base + "/v1/services/" + call.Service + call.Path
-	return c.send(ctx, call, target)
+// Call sends a request to a service through the node. A request with a body is
+// sent at most once: its body can't be rewound, so that net/http never retries it.
+func (c *Client) Call(ctx context.Context, call Call) (CallResponse, error) {
+	targetURL := c.baseURL + "/v1/services/" + call.Service + call.Path
+	return c.send(ctx, call, targetURL)
 }
 
-// CallDirect sends the same request straight to a service server.
-func (c *Client) CallDirect(ctx context.Context, call Call) (CallAnswer, error) {
-	return c.send(ctx, call, c.base+call.Path)
+// CallDirect sends the request directly to a service server, the address of which
+// is the client's node address.
+func (c *Client) CallDirect(ctx context.Context, call Call) (CallResponse, error) {
+	return c.send(ctx, call, c.baseURL+call.Path)
 }
 
-func (c *Client) send(ctx context.Context, call Call, target string) (CallAnswer, error) {
+func (c *Client) send(ctx context.Context, call Call, targetURL string) (CallResponse, error) {
 	body := io.Reader(http.NoBody)
 	if call.Body != "" {
 		body = io.NopCloser(strings.NewReader(call.Body))
 	}
-	request, err := http.NewRequestWithContext(ctx, call.Method, target, body)
+	request, err := http.NewRequestWithContext(ctx, call.Method, targetURL, body)
 	if err != nil {
-		return CallAnswer{}, eris.Wrapf(err, "make the request %s %s", call.Method, target)
+		return CallResponse{}, eris.Wrapf(err, "make the request %s %s", call.Method, targetURL)
 	}
 	if call.Body != "" {
 		request.ContentLength = int64(len(call.Body))
 	}
-	if call.Key != "" {
-		request.Header.Set(headerKey, call.Key)
+	if call.IdempotencyKey != "" {
+		request.Header.Set(headerIdempotencyKey, call.IdempotencyKey)
 	}
 	if call.Unrepeatable {
 		request.Header.Set(headerRepeatable, "no")
@@ -74,12 +76,12 @@
 	}
 	response, err := c.http.Do(request)
 	if err != nil {
-		return CallAnswer{}, eris.Wrapf(err, "call %s", target)
+		return CallResponse{}, eris.Wrapf(err, "call %s", targetURL)
 	}
 	defer response.Body.Close()
-	content, err := io.ReadAll(response.Body)
+	responseBody, err := io.ReadAll(response.Body)
 	if err != nil {
-		return CallAnswer{}, eris.Wrapf(err, "read the answer of %s", target)
+		return CallResponse{}, eris.Wrapf(err, "read the answer of %s", targetURL)
 	}
-	return CallAnswer{Status: response.StatusCode, Header: response.Header, Body: content}, nil
+	return CallResponse{Status: response.StatusCode, Header: response.Header, Body: responseBody}, nil
 }
--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -1,5 +1,5 @@
-// Package client speaks a node's HTTP interface for operators, trainers and
-// callers: the subcommands, the demo and the process test use it.
+// Package client is a client of a node's HTTP API for operators, trainers and
+// callers. The subcommands, the demo and the process tests use it.
 package client
 
 import (
@@ -16,24 +16,24 @@
 	"github.com/rotisserie/eris"
 )
 
-// idlePerNode is the number of idle connections kept to one node.
-const idlePerNode = 256
+// maxIdleConnsPerNode is the maximum number of idle connections to one node.
+const maxIdleConnsPerNode = 256
 
 // Options configure a Client.
 type Options struct {
 	// Node is the node's HTTP address, as IP:port or as a base URL.
 	Node string
-	// HTTP sends the requests; nil for a client with a pool of its own.
+	// HTTP sends the requests; nil for a client with its own connection pool.
 	HTTP *http.Client
 }
 
-// Client speaks to one node. It is safe for concurrent use.
+// Client calls one node. It is safe for concurrent use.
 type Client struct {
-	base string
-	http *http.Client
+	baseURL string
+	http    *http.Client
 }
 
-// New returns a client. It opens no connection yet.
+// New returns a client. Connections are opened on demand.
 func New(options Options) *Client {
 	base := options.Node
 	if !strings.Contains(base, "://") {
@@ -42,80 +42,80 @@
 	if options.HTTP == nil {
 		options.HTTP = NewHTTPClient()
 	}
-	return &Client{base: strings.TrimSuffix(base, "/"), http: options.HTTP}
+	return &Client{baseURL: strings.TrimSuffix(base, "/"), http: options.HTTP}
 }
 
-// NewHTTPClient returns an HTTP client with a connection pool of its own and
-// no time limit; calls are bounded by their context.
+// NewHTTPClient returns an HTTP client with its own connection pool and no
+// timeout; the context of a call limits it.
 func NewHTTPClient() *http.Client {
-	return &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: idlePerNode, DisableCompression: true}}
+	return &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxIdleConnsPerNode, DisableCompression: true}}
 }
 
-// Refusal is an error body of a node.
-type Refusal struct {
+// APIError is an error response of a node.
+type APIError struct {
 	// Status is the HTTP status.
 	Status int `json:"-"`
-	// Code is the machine-readable reason.
+	// Code is the machine-readable error code.
 	Code    string `json:"code"`
 	Message string `json:"message"`
 	Field   string `json:"field"`
-	// Step and Peer say where the failure arose.
+	// Step and Peer are the step and the node that the error comes from.
 	Step string `json:"step"`
 	Peer string `json:"peer"`
-	// NotRun says that the request surely did not run.
-	NotRun       bool  `json:"not_run"`
+	// NotExecuted is set if the request was definitely not executed.
+	NotExecuted  bool  `json:"not_run"`
 	RetryAfterMS int64 `json:"retry_after_ms"`
 }
 
 // Error implements error.
-func (r *Refusal) Error() string {
-	text := r.Code + ": " + r.Message
-	if r.Field != "" {
-		text += " (field " + r.Field + ")"
+func (e *APIError) Error() string {
+	text := e.Code + ": " + e.Message
+	if e.Field != "" {
+		text += " (field " + e.Field + ")"
 	}
-	if r.Step != "" {
-		text += " (step " + r.Step + ")"
+	if e.Step != "" {
+		text += " (step " + e.Step + ")"
 	}
-	if r.Peer != "" {
-		text += " (peer " + r.Peer + ")"
+	if e.Peer != "" {
+		text += " (peer " + e.Peer + ")"
 	}
 	return text
 }
 
-// RetryAfter is the time after which the request may be tried again.
-func (r *Refusal) RetryAfter() time.Duration {
-	return time.Duration(r.RetryAfterMS) * time.Millisecond
+// RetryAfter returns the delay after which the request can be retried.
+func (e *APIError) RetryAfter() time.Duration {
+	return time.Duration(e.RetryAfterMS) * time.Millisecond
 }
 
-// IsFinal reports whether an error is a node's refusal that trying again can't
-// change.
-func IsFinal(err error) bool {
-	var refusal *Refusal
-	if !errors.As(err, &refusal) {
+// IsPermanent reports whether err is an error response of a node that a retry
+// can't change.
+func IsPermanent(err error) bool {
+	var apiError *APIError
+	if !errors.As(err, &apiError) {
 		return false
 	}
-	return refusal.Status < http.StatusInternalServerError && refusal.RetryAfterMS == 0
+	return apiError.Status < http.StatusInternalServerError && apiError.RetryAfterMS == 0
 }
 
-// get asks for a JSON answer.
-func (c *Client) get(ctx context.Context, path string, query url.Values, answer any) error {
+// get sends a GET request and decodes the JSON response into target.
+func (c *Client) get(ctx context.Context, path string, query url.Values, target any) error {
 	if len(query) > 0 {
 		path += "?" + query.Encode()
 	}
-	return c.exchange(ctx, http.MethodGet, path, nil, answer)
+	return c.do(ctx, http.MethodGet, path, nil, target)
 }
 
-// post sends JSON and asks for a JSON answer.
-func (c *Client) post(ctx context.Context, path string, question, answer any) error {
-	body, err := json.Marshal(question)
+// post sends the payload as JSON and decodes the JSON response into target.
+func (c *Client) post(ctx context.Context, path string, payload, target any) error {
+	body, err := json.Marshal(payload)
 	if err != nil {
 		return eris.Wrapf(err, "encode the request %s", path)
 	}
-	return c.exchange(ctx, http.MethodPost, path, bytes.NewReader(body), answer)
+	return c.do(ctx, http.MethodPost, path, bytes.NewReader(body), target)
 }
 
-func (c *Client) exchange(ctx context.Context, method, path string, body io.Reader, answer any) error {
-	request, err := http.NewRequestWithContext(ctx, method, c.base+path, body)
+func (c *Client) do(ctx context.Context, method, path string, body io.Reader, target any) error {
+	request, err := http.NewRequestWithContext(ctx, method, c.baseURL+path, body)
 	if err != nil {
 		return eris.Wrapf(err, "make the request %s %s", method, path)
 	}
@@ -124,29 +124,30 @@
 	}
 	response, err := c.http.Do(request)
 	if err != nil {
-		return eris.Wrapf(err, "ask node %s", c.base)
+		return eris.Wrapf(err, "ask node %s", c.baseURL)
 	}
 	defer response.Body.Close()
-	content, err := io.ReadAll(response.Body)
+	responseBody, err := io.ReadAll(response.Body)
 	if err != nil {
-		return eris.Wrapf(err, "read the answer of node %s to %s", c.base, path)
+		return eris.Wrapf(err, "read the answer of node %s to %s", c.baseURL, path)
 	}
 	if response.StatusCode >= http.StatusBadRequest {
-		return c.refusal(response.StatusCode, path, content)
+		return c.parseError(response.StatusCode, path, responseBody)
 	}
-	if err := json.Unmarshal(content, answer); err != nil {
-		return eris.Wrapf(err, "decode the answer of node %s to %s", c.base, path)
+	if err := json.Unmarshal(responseBody, target); err != nil {
+		return eris.Wrapf(err, "decode the answer of node %s to %s", c.baseURL, path)
 	}
 	return nil
 }
 
-// refusal turns an error body into a *Refusal.
-func (c *Client) refusal(status int, path string, content []byte) error {
+// parseError returns the *APIError in an error response, or a generic error if
+// the body doesn't hold one.
+func (c *Client) parseError(status int, path string, responseBody []byte) error {
 	var body struct {
-		Error *Refusal `json:"error"`
+		Error *APIError `json:"error"`
 	}
-	if json.Unmarshal(content, &body) != nil || body.Error == nil {
-		return eris.Errorf("node %s answered %s with status %d: %s", c.base, path, status, bytes.TrimSpace(content))
+	if json.Unmarshal(responseBody, &body) != nil || body.Error == nil {
+		return eris.Errorf("node %s answered %s with status %d: %s", c.baseURL, path, status, bytes.TrimSpace(responseBody))
 	}
 	body.Error.Status = status
 	return body.Error
--- a/internal/client/operator.go
+++ b/internal/client/operator.go
@@ -9,63 +9,63 @@
 	"dalehook/internal/record"
 )
 
-// PlanAnswer is a node's answer to a plan that was asked for.
-type PlanAnswer = api.PlanAnswer
+// PlanResponse is a node's response to CreatePlan and Plan.
+type PlanResponse = api.PlanAnswer
 
-// Confirmed is a node's answer to a confirmation.
-type Confirmed = api.ConfirmAnswer
+// ConfirmResponse is a node's response to ConfirmPlan.
+type ConfirmResponse = api.ConfirmAnswer
 
-// Confirmation puts a plan in force.
+// Confirmation identifies the plan that an operator puts in force.
 type Confirmation struct {
-	// Digest and Revision name the plan and the revision that it builds on.
+	// Digest identifies the plan; Revision is the revision that it is based on.
 	Digest   string          `json:"-"`
 	Revision record.Revision `json:"revision"`
 	Operator string          `json:"operator,omitempty"`
-	// Plan is sent along when the node may not hold it itself; it may be nil.
+	// Plan is the plan itself, for a node that may not have it; it may be nil.
 	Plan *record.Plan `json:"plan,omitempty"`
 }
 
-// MakePlan asks for a plan.
-func (c *Client) MakePlan(ctx context.Context, event record.Event) (PlanAnswer, error) {
-	var answer PlanAnswer
-	err := c.post(ctx, "/v1/plans", event, &answer)
-	return answer, err
+// CreatePlan creates a plan for an event.
+func (c *Client) CreatePlan(ctx context.Context, event record.Event) (PlanResponse, error) {
+	var response PlanResponse
+	err := c.post(ctx, "/v1/plans", event, &response)
+	return response, err
 }
 
-// Plan reads a plan.
-func (c *Client) Plan(ctx context.Context, digest string) (PlanAnswer, error) {
-	var answer PlanAnswer
-	err := c.get(ctx, "/v1/plans/"+url.PathEscape(digest), nil, &answer)
-	return answer, err
+// Plan returns the plan with the digest.
+func (c *Client) Plan(ctx context.Context, digest string) (PlanResponse, error) {
+	var response PlanResponse
+	err := c.get(ctx, "/v1/plans/"+url.PathEscape(digest), nil, &response)
+	return response, err
 }
 
 // ConfirmPlan puts a plan in force.
-func (c *Client) ConfirmPlan(ctx context.Context, confirmation Confirmation) (Confirmed, error) {
-	var answer Confirmed
+func (c *Client) ConfirmPlan(ctx context.Context, confirmation Confirmation) (ConfirmResponse, error) {
+	var response ConfirmResponse
 	path := "/v1/plans/" + url.PathEscape(confirmation.Digest) + "/confirm"
-	err := c.post(ctx, path, confirmation, &answer)
-	return answer, err
+	err := c.post(ctx, path, confirmation, &response)
+	return response, err
 }
 
-// Withdrawal takes an event out of force.
+// Withdrawal identifies the event that an operator withdraws.
 type Withdrawal struct {
 	Event string `json:"-"`
-	// Revision is the one in force that the operator has seen.
+	// Revision is the revision in force that the operator has seen.
 	Revision record.Revision `json:"revision"`
 	Operator string          `json:"operator,omitempty"`
 }
 
-// WithdrawEvent takes an event out of force.
+// WithdrawEvent withdraws an event that is in force.
 func (c *Client) WithdrawEvent(ctx context.Context, withdrawal Withdrawal) (machine.EventOut, error) {
-	var answer machine.EventOut
+	var response machine.EventOut
 	path := "/v1/events/" + url.PathEscape(withdrawal.Event) + "/withdraw"
-	err := c.post(ctx, path, withdrawal, &answer)
-	return answer, err
+	err := c.post(ctx, path, withdrawal, &response)
+	return response, err
 }
 
-// Status reads what the node knows.
+// Status returns the node's status report.
 func (c *Client) Status(ctx context.Context) (machine.StatusReport, error) {
-	var answer machine.StatusReport
-	err := c.get(ctx, "/v1/status", nil, &answer)
-	return answer, err
+	var report machine.StatusReport
+	err := c.get(ctx, "/v1/status", nil, &report)
+	return report, err
 }
--- a/internal/client/trainer.go
+++ b/internal/client/trainer.go
@@ -11,59 +11,60 @@
 	"dalehook/internal/record"
 )
 
-// Step is a batch of samples as a trainer posts it.
+// Step is a batch of samples posted by a trainer.
 type Step struct {
 	Event      string          `json:"event"`
 	Trainer    string          `json:"trainer"`
-	Step       string          `json:"step"`
+	ID         string          `json:"step"`
 	Samples    []record.Sample `json:"samples"`
 	DeadlineMS int64           `json:"deadline_ms,omitempty"`
 }
 
-// Accepted is a node's answer to a step.
-type Accepted struct {
+// StepResponse is a node's response to PostStep.
+type StepResponse struct {
 	Step     string `json:"step"`
 	Accepted int    `json:"accepted"`
 }
 
-// Read asks for the finished samples of a step.
-type Read struct {
+// ReadRequest is a request for the finished samples of a step.
+type ReadRequest struct {
 	Step string
-	// After is the cursor of the read before, empty at the start.
-	After string
-	// Wait is how long the node may hold its answer back.
-	Wait time.Duration
-	// Version is the trainer's own newest version, zero for none.
+	// Cursor is the cursor of the previous page, empty for the first read.
+	Cursor string
+	// MaxWait is how long the node may delay its response while no samples are
+	// ready.
+	MaxWait time.Duration
+	// Version is the trainer's newest weight version, zero for none.
 	Version cluster.Version
 }
 
-// Page is a node's answer to a read.
-type Page struct {
+// SamplesPage is a node's response to ReadSamples.
+type SamplesPage struct {
 	Samples []machine.SampleView `json:"samples"`
 	Cursor  string               `json:"cursor"`
 	Done    bool                 `json:"done"`
 }
 
-// PostStep posts a step. Posting the same step again is the same as once.
-func (c *Client) PostStep(ctx context.Context, step Step) (Accepted, error) {
-	var answer Accepted
-	err := c.post(ctx, "/v1/steps", step, &answer)
-	return answer, err
+// PostStep posts a step. It is idempotent.
+func (c *Client) PostStep(ctx context.Context, step Step) (StepResponse, error) {
+	var response StepResponse
+	err := c.post(ctx, "/v1/steps", step, &response)
+	return response, err
 }
 
-// ReadSamples reads samples that lie behind a cursor.
-func (c *Client) ReadSamples(ctx context.Context, read Read) (Page, error) {
+// ReadSamples returns the samples after a cursor.
+func (c *Client) ReadSamples(ctx context.Context, request ReadRequest) (SamplesPage, error) {
 	query := url.Values{}
-	if read.After != "" {
-		query.Set("after", read.After)
+	if request.Cursor != "" {
+		query.Set("after", request.Cursor)
 	}
-	if read.Wait > 0 {
-		query.Set("wait_ms", strconv.FormatInt(read.Wait.Milliseconds(), 10))
+	if request.MaxWait > 0 {
+		query.Set("wait_ms", strconv.FormatInt(request.MaxWait.Milliseconds(), 10))
 	}
-	if read.Version > 0 {
-		query.Set("version", strconv.FormatInt(int64(read.Version), 10))
+	if request.Version > 0 {
+		query.Set("version", strconv.FormatInt(int64(request.Version), 10))
 	}
-	var answer Page
-	err := c.get(ctx, "/v1/steps/"+url.PathEscape(read.Step)+"/samples", query, &answer)
-	return answer, err
+	var page SamplesPage
+	err := c.get(ctx, "/v1/steps/"+url.PathEscape(request.Step)+"/samples", query, &page)
+	return page, err
 }
--- a/internal/command/clientflags.go
+++ b/internal/command/clientflags.go
@@ -61,9 +61,9 @@
 // after which to retry.
 func printFailure(streams Streams, action string, err error) subcommands.ExitStatus {
 	fmt.Fprintf(streams.Error, "%s: %v\n", action, err)
-	var refusal *client.Refusal
-	if errors.As(err, &refusal) && refusal.RetryAfterMS > 0 {
-		fmt.Fprintf(streams.Error, "Try again in %s.\n", refusal.RetryAfter())
+	var apiError *client.APIError
+	if errors.As(err, &apiError) && apiError.RetryAfterMS > 0 {
+		fmt.Fprintf(streams.Error, "Try again in %s.\n", apiError.RetryAfter())
 	}
 	return subcommands.ExitFailure
 }
--- a/internal/command/command_test.go
+++ b/internal/command/command_test.go
@@ -160,7 +160,7 @@
 			t.Errorf("decode the event: %v", err)
 		}
 		events = append(events, event)
-		_ = json.NewEncoder(w).Encode(client.PlanAnswer{Plan: record.Plan{Digest: "d1", Base: 3, Event: event}})
+		_ = json.NewEncoder(w).Encode(client.PlanResponse{Plan: record.Plan{Digest: "d1", Base: 3, Event: event}})
 	}))
 	defer node.Close()
 
--- a/internal/command/confirm.go
+++ b/internal/command/confirm.go
@@ -64,14 +64,14 @@
 	}
 	ctx, cancel := c.clientFlags.withTimeout(ctx)
 	defer cancel()
-	answer, err := node.ConfirmPlan(ctx, confirmation)
+	response, err := node.ConfirmPlan(ctx, confirmation)
 	if err != nil {
 		return printFailure(c.streams, "confirm", err)
 	}
 	if c.clientFlags.json {
-		return printJSON(c.streams, answer)
+		return printJSON(c.streams, response)
 	}
-	fmt.Fprintf(c.streams.Output, "Plan %s is in force at revision %d.\n", answer.Digest, answer.Revision)
+	fmt.Fprintf(c.streams.Output, "Plan %s is in force at revision %d.\n", response.Digest, response.Revision)
 	return subcommands.ExitSuccess
 }
 
@@ -98,15 +98,15 @@
 	if err != nil {
 		return client.Confirmation{}, eris.Wrap(err, "read the plan's file")
 	}
-	var answer client.PlanAnswer
-	if err := json.Unmarshal(content, &answer); err != nil {
+	var response client.PlanResponse
+	if err := json.Unmarshal(content, &response); err != nil {
 		return client.Confirmation{}, eris.Wrapf(err, "decode %s", c.planPath)
 	}
-	if answer.Plan.Digest == "" {
+	if response.Plan.Digest == "" {
 		return client.Confirmation{}, eris.Errorf("%s holds no plan", c.planPath)
 	}
-	confirmation.Digest = answer.Plan.Digest
-	confirmation.Revision = answer.Plan.Base
-	confirmation.Plan = &answer.Plan
+	confirmation.Digest = response.Plan.Digest
+	confirmation.Revision = response.Plan.Base
+	confirmation.Plan = &response.Plan
 	return confirmation, nil
 }
--- a/internal/command/plan.go
+++ b/internal/command/plan.go
@@ -55,16 +55,16 @@
 	}
 	ctx, cancel := c.clientFlags.withTimeout(ctx)
 	defer cancel()
-	answer, err := node.MakePlan(ctx, event)
+	response, err := node.CreatePlan(ctx, event)
 	if err != nil {
 		return printFailure(c.streams, "plan", err)
 	}
 	if c.clientFlags.json {
-		return printJSON(c.streams, answer)
+		return printJSON(c.streams, response)
 	}
-	fmt.Fprintln(c.streams.Output, planner.Render(answer.Plan))
+	fmt.Fprintln(c.streams.Output, planner.Render(response.Plan))
 	fmt.Fprintln(c.streams.Output, "To put it in force:")
 	fmt.Fprintf(c.streams.Output, "  dalehook confirm -node %s -digest %s -revision %d -operator YOUR-NAME\n",
-		c.clientFlags.node, answer.Plan.Digest, answer.Plan.Base)
+		c.clientFlags.node, response.Plan.Digest, response.Plan.Base)
 	return subcommands.ExitSuccess
 }
--- a/internal/command/withdraw.go
+++ b/internal/command/withdraw.go
@@ -58,13 +58,13 @@
 	ctx, cancel := c.clientFlags.withTimeout(ctx)
 	defer cancel()
 	withdrawal := client.Withdrawal{Event: c.eventName, Revision: record.Revision(c.revision), Operator: c.operatorName}
-	answer, err := node.WithdrawEvent(ctx, withdrawal)
+	response, err := node.WithdrawEvent(ctx, withdrawal)
 	if err != nil {
 		return printFailure(c.streams, "withdraw", err)
 	}
 	if c.clientFlags.json {
-		return printJSON(c.streams, answer)
+		return printJSON(c.streams, response)
 	}
-	fmt.Fprintf(c.streams.Output, "Event %q is out of force; revision %d is in force.\n", answer.Event, answer.Revision)
+	fmt.Fprintf(c.streams.Output, "Event %q is out of force; revision %d is in force.\n", response.Event, response.Revision)
 	return subcommands.ExitSuccess
 }
--- a/internal/demo/await.go
+++ b/internal/demo/await.go
@@ -30,7 +30,7 @@
 		if last == nil || ctx.Err() == nil {
 			last = err
 		}
-		if ctx.Err() != nil || client.IsFinal(err) {
+		if ctx.Err() != nil || client.IsPermanent(err) {
 			return eris.Wrap(last, doing)
 		}
 		traffic.Pause(ctx, pollPause)
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -281,10 +281,10 @@
 // confirm asks one node for the plan and confirms it at another.
 func (r *run) confirm(ctx context.Context) (record.Plan, error) {
 	nodes := r.deployment.nodeClients()
-	var made client.PlanAnswer
+	var made client.PlanResponse
 	// The node may not have read the announcement, or seen all engines, yet.
 	err := persist(ctx, "plan the event", func() (err error) {
-		made, err = nodes[0].MakePlan(ctx, r.event())
+		made, err = nodes[0].CreatePlan(ctx, r.event())
 		if err == nil && len(made.Plan.Missing) > 0 {
 			err = eris.Errorf("the plan can't be met: %s", strings.Join(made.Plan.Missing, "; "))
 		}
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -181,13 +181,13 @@
 	if r.options.Unrepeatable {
 		call.Method = http.MethodPost
 		call.Body = "saved"
-		call.Key = fmt.Sprintf("load-%s-%d", r.options.Run, number)
+		call.IdempotencyKey = fmt.Sprintf("load-%s-%d", r.options.Run, number)
 		call.Unrepeatable = true
 	}
 	return call
 }
 
-func check(answer client.CallAnswer, err error) error {
+func check(answer client.CallResponse, err error) error {
 	if err == nil && answer.Status != http.StatusOK {
 		return eris.Errorf("status %d: %s", answer.Status, answer.Body)
 	}
--- a/internal/traffic/callers.go
+++ b/internal/traffic/callers.go
@@ -122,7 +122,7 @@
 		call.Method = http.MethodPost
 		call.Path = fmt.Sprintf("/saves/%s-%d", way, number)
 		call.Body = fmt.Sprintf(`{"line":%d,"hearing":"water board"}`, number)
-		call.Key = saveKey(way, number)
+		call.IdempotencyKey = saveKey(way, number)
 		call.Unrepeatable = true
 	}
 	return call
@@ -164,7 +164,7 @@
 	}
 	c.counts.Answered++
 	if call.Unrepeatable {
-		c.saved = append(c.saved, call.Key)
+		c.saved = append(c.saved, call.IdempotencyKey)
 	}
 	_ = c.counts.Routed.RecordValue(took.Microseconds())
 }
@@ -189,7 +189,7 @@
 
 // outcomeOf returns a check that says why an answer is not the whole answer to
 // the call, empty when it is.
-func outcomeOf(answer client.CallAnswer, err error) func(client.Call) string {
+func outcomeOf(answer client.CallResponse, err error) func(client.Call) string {
 	return func(call client.Call) string {
 		if err != nil {
 			return err.Error()
@@ -202,7 +202,7 @@
 			return "answer is no JSON: " + err.Error()
 		}
 		digest := sha256.Sum256([]byte(call.Body))
-		if echo.Path != call.Path || echo.Key != call.Key || echo.BodyDigest != hex.EncodeToString(digest[:]) {
+		if echo.Path != call.Path || echo.Key != call.IdempotencyKey || echo.BodyDigest != hex.EncodeToString(digest[:]) {
 			return fmt.Sprintf("answer belongs to %s with key %q", echo.Path, echo.Key)
 		}
 		return ""
--- a/internal/traffic/callers_test.go
+++ b/internal/traffic/callers_test.go
@@ -18,11 +18,11 @@
 	node := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
 		path := strings.TrimPrefix(r.URL.Path, "/v1/services/bridge")
-		var answer client.CallAnswer
+		var answer client.CallResponse
 		for range times(r) {
 			var err error
 			answer, err = client.New(client.Options{Node: server}).CallDirect(r.Context(), client.Call{
-				Method: r.Method, Path: path, Body: string(body), Key: r.Header.Get("Idempotency-Key"),
+				Method: r.Method, Path: path, Body: string(body), IdempotencyKey: r.Header.Get("Idempotency-Key"),
 			})
 			if err != nil {
 				t.Errorf("forward: %v", err)
--- a/internal/traffic/ledger.go
+++ b/internal/traffic/ledger.go
@@ -72,8 +72,8 @@
 		count.samples[sample.ID] = sample
 		count.received[sample.ID] = 0
 	}
-	l.steps[step.Step] = count
-	l.order = append(l.order, step.Step)
+	l.steps[step.ID] = count
+	l.order = append(l.order, step.ID)
 }
 
 // Took notes samples that the trainer has taken. Newest is the newest version
--- a/internal/traffic/ledger_test.go
+++ b/internal/traffic/ledger_test.go
@@ -93,7 +93,7 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			ledger := NewLedger()
-			ledger.Posted(client.Step{Step: "s", Samples: samples}, 1)
+			ledger.Posted(client.Step{ID: "s", Samples: samples}, 1)
 			ledger.Announced(3)
 			ledger.Took("s", ledger.Newest(), test.change(good()))
 			if diff := cmp.Diff(test.want, ledger.Counts()); diff != "" {
--- a/internal/traffic/trainer.go
+++ b/internal/traffic/trainer.go
@@ -75,7 +75,7 @@
 		if err := t.post(ctx, step); err != nil {
 			return err
 		}
-		if err := t.readAll(ctx, step.Step); err != nil {
+		if err := t.readAll(ctx, step.ID); err != nil {
 			return err
 		}
 	}
@@ -88,10 +88,10 @@
 	step := client.Step{
 		Event:   t.event,
 		Trainer: t.work.Trainer,
-		Step:    fmt.Sprintf("%s-%d", t.work.Trainer, number),
+		ID:      fmt.Sprintf("%s-%d", t.work.Trainer, number),
 	}
 	for i := range t.work.Samples {
-		group := fmt.Sprintf("%s-%d", step.Step, i/samplesPerGroup)
+		group := fmt.Sprintf("%s-%d", step.ID, i/samplesPerGroup)
 		tokens := t.work.Tokens
 		if i%t.work.LongEvery == t.work.LongEvery-1 {
 			tokens = t.work.LongTokens
@@ -119,7 +119,7 @@
 
 // post posts a step until a node accepts it. Posting it twice is harmless.
 func (t *Trainer) post(ctx context.Context, step client.Step) error {
-	return t.try(ctx, "post", step.Step, func(node *client.Client) error {
+	return t.try(ctx, "post", step.ID, func(node *client.Client) error {
 		if _, err := node.PostStep(ctx, step); err != nil {
 			return err
 		}
@@ -145,17 +145,17 @@
 }
 
 // readPage reads once and takes the samples, unless the answer is dropped.
-func (t *Trainer) readPage(ctx context.Context, step, cursor string) (client.Page, error) {
-	var page client.Page
+func (t *Trainer) readPage(ctx context.Context, step, cursor string) (client.SamplesPage, error) {
+	var page client.SamplesPage
 	err := t.try(ctx, "read", step, func(node *client.Client) error {
 		newest := t.ledger.Newest()
-		answer, err := node.ReadSamples(ctx, client.Read{Step: step, After: cursor, Wait: readWait, Version: newest})
+		answer, err := node.ReadSamples(ctx, client.ReadRequest{Step: step, Cursor: cursor, MaxWait: readWait, Version: newest})
 		if err != nil {
 			return err
 		}
 		t.reads++
 		if t.reads%lostAnswerEvery == 0 {
-			page = client.Page{Cursor: cursor}
+			page = client.SamplesPage{Cursor: cursor}
 			return nil
 		}
 		t.ledger.Took(step, newest, answer.Samples)
@@ -172,7 +172,7 @@
 		if err == nil {
 			return nil
 		}
-		if ctx.Err() != nil || client.IsFinal(err) {
+		if ctx.Err() != nil || client.IsPermanent(err) {
 			return eris.Wrapf(err, "%s step %s", doing, step)
 		}
 		t.next++
