--- a/internal/wiretest/shape.go
+++ b/internal/wiretest/shape.go
@@ -6,19 +6,21 @@
 	"time"
 )
 
-// Shape is the shape of a type as gob and JSON see it: names and kinds, without the types' own names.
+// Shape is the structure of a type as far as gob and JSON encode it: field names
+// and kinds, without type names.
 type Shape struct {
-	// Kind is that of reflect, or "time".
+	// Kind is the name of the reflect.Kind, or "time".
 	Kind string
-	// Fields are those of a struct.
+	// Fields are the exported fields of a struct.
 	Fields []Field `json:",omitempty"`
-	// Elem is the shape of the elements of a slice, an array, a map with text keys or a pointer.
+	// Elem is the element shape of a slice, an array, a map with string keys or a
+	// pointer.
 	Elem *Shape `json:",omitempty"`
-	// Length is that of an array.
+	// Length is the length of an array.
 	Length int `json:",omitempty"`
 }
 
-// Field is a field of a struct.
+// Field is a struct field.
 type Field struct {
 	Name  string
 	Shape Shape
@@ -50,10 +52,10 @@
 	return shape
 }
 
-// basicTypes are the types without parts, by kind.
-var basicTypes = basicTypesByKind(false, int(0), int64(0), uint64(0), uint8(0), float64(0), "")
+// scalarTypes holds the supported scalar types by kind.
+var scalarTypes = typesByKind(false, int(0), int64(0), uint64(0), uint8(0), float64(0), "")
 
-func basicTypesByKind(values ...any) map[string]reflect.Type {
+func typesByKind(values ...any) map[string]reflect.Type {
 	types := make(map[string]reflect.Type)
 	for _, value := range values {
 		types[reflect.TypeOf(value).Kind().String()] = reflect.TypeOf(value)
@@ -61,48 +63,49 @@
 	return types
 }
 
-// typeOf returns a type of a shape, which stands for the type of another build.
-func typeOf(shape Shape) reflect.Type {
+// newType returns a type with the given shape. It stands in for the type of
+// another build.
+func newType(shape Shape) reflect.Type {
 	switch shape.Kind {
 	case timeKind:
 		return timeType
 	case reflect.Struct.String():
 		var fields []reflect.StructField
 		for _, field := range shape.Fields {
-			fields = append(fields, reflect.StructField{Name: field.Name, Type: typeOf(field.Shape)})
+			fields = append(fields, reflect.StructField{Name: field.Name, Type: newType(field.Shape)})
 		}
 		return reflect.StructOf(fields)
 	case reflect.Slice.String():
-		return reflect.SliceOf(typeOf(*shape.Elem))
+		return reflect.SliceOf(newType(*shape.Elem))
 	case reflect.Array.String():
-		return reflect.ArrayOf(shape.Length, typeOf(*shape.Elem))
+		return reflect.ArrayOf(shape.Length, newType(*shape.Elem))
 	case reflect.Map.String():
-		return reflect.MapOf(reflect.TypeFor[string](), typeOf(*shape.Elem))
+		return reflect.MapOf(reflect.TypeFor[string](), newType(*shape.Elem))
 	case reflect.Pointer.String():
-		return reflect.PointerTo(typeOf(*shape.Elem))
+		return reflect.PointerTo(newType(*shape.Elem))
 	}
-	basic, known := basicTypes[shape.Kind]
+	scalar, known := scalarTypes[shape.Kind]
 	if !known {
-		panic(fmt.Sprintf("no type of kind %s", shape.Kind))
+		panic(fmt.Sprintf("unsupported kind %s", shape.Kind))
 	}
-	return basic
+	return scalar
 }
 
-// paths returns the kinds of all parts of a shape, by their paths.
-func (s Shape) paths(path string, into map[string]string) {
+// addKinds adds the kinds of all parts of the shape to kinds, by path.
+func (s Shape) addKinds(path string, kinds map[string]string) {
 	if path != "" {
-		into[path] = s.Kind
+		kinds[path] = s.Kind
 	}
 	for _, field := range s.Fields {
-		field.Shape.paths(fieldPath(path, field.Name), into)
+		field.Shape.addKinds(fieldPath(path, field.Name), kinds)
 	}
 	if s.Elem != nil {
-		s.Elem.paths(path+elemPath, into)
+		s.Elem.addKinds(path+elemSuffix, kinds)
 	}
 }
 
-// elemPath is added to the path of what has elements.
-const elemPath = "[]"
+// elemSuffix is appended to a path to get the path of its elements.
+const elemSuffix = "[]"
 
 func fieldPath(path, name string) string {
 	if path == "" {
--- a/internal/wiretest/wiretest.go
+++ b/internal/wiretest/wiretest.go
@@ -1,9 +1,12 @@
-// Package wiretest checks what nodes say to each other or leave in the store against earlier builds: nodes of two
-// builds work side by side while machines are replaced, and either has to read what the other writes.
+// Package wiretest checks that messages between nodes and records in the store
+// are compatible with earlier builds: during a rolling upgrade nodes of two builds
+// run side by side, and each must be able to read what the other writes.
 //
-// Each message has a folder testdata/wire/NAME with two files for each build that changed its shape: BUILD.shape,
-// the names and kinds of its parts, and BUILD.encoded, a message of that build in which each part holds what
-// its path stands for. docs/design/builds.md tells how a message may be changed.
+// Each message has a directory testdata/wire/NAME with two files for each build
+// that changed its shape: BUILD.shape holds the names and kinds of its parts, and
+// BUILD.encoded is a message of that build in which the value of each part is
+// derived from its path. docs/design/builds.md describes how a message may be
+// changed.
 package wiretest
 
 import (
@@ -19,16 +22,17 @@
 	"testing"
 )
 
-// record names the build whose files are written instead of checked; they are written where the shape is new.
-var record = flag.String("wire.record", "", "write the shapes and encodings of messages as those of this `build`")
+// recordBuild is the build name under which shapes and encodings are written
+// instead of checked. They are written only for shapes not recorded before.
+var recordBuild = flag.String("wire.record", "", "write the shapes and encodings of messages as those of this `build`")
 
-// Codec encodes messages.
+// Codec encodes and decodes messages.
 type Codec interface {
 	Encode(message any) ([]byte, error)
 	Decode(encoded []byte, message any) error
 }
 
-// The codecs.
+// Codecs of messages.
 var (
 	Gob  Codec = gobCodec{}
 	JSON Codec = jsonCodec{}
@@ -51,24 +55,24 @@
 func (jsonCodec) Encode(message any) ([]byte, error)       { return json.Marshal(message) }
 func (jsonCodec) Decode(encoded []byte, message any) error { return json.Unmarshal(encoded, message) }
 
-// Message is one that nodes of different builds may exchange.
+// Message is a message type that nodes of different builds may exchange.
 type Message struct {
 	Name  string
 	Codec Codec
-	// Value is a value of the message's type.
+	// Value is a value of the message's type; only its type is used.
 	Value any
-	// Added tells, for each part that an earlier build does not have, what its being zero, or its being left
-	// unread by such a build, means.
+	// Added documents each part that an earlier build doesn't have, by path: what
+	// it means that the part is zero, or that such a build ignores it.
 	Added map[string]string
 }
 
-// Check checks messages of this build against those of the builds whose files stand in testdata/wire.
+// Check checks the messages of this build against those recorded in testdata/wire.
 func Check(t *testing.T, messages []Message) {
 	t.Helper()
 	for _, message := range messages {
 		t.Run(message.Name, func(t *testing.T) {
-			if *record != "" {
-				message.write(t, *record)
+			if *recordBuild != "" {
+				message.recordShape(t, *recordBuild)
 				return
 			}
 			message.check(t)
@@ -76,19 +80,20 @@
 	}
 }
 
-func (m Message) folder() string { return filepath.Join("testdata", "wire", m.Name) }
+func (m Message) directory() string { return filepath.Join("testdata", "wire", m.Name) }
 
 const (
-	shapeEnding   = ".shape"
-	encodedEnding = ".encoded"
+	shapeExtension   = ".shape"
+	encodedExtension = ".encoded"
 )
 
-// write keeps the shape and an encoding of this build as those of a build, unless its shape is kept already.
-func (m Message) write(t *testing.T, build string) {
+// recordShape writes the current shape and an encoded message under the build
+// name, unless the shape is already recorded.
+func (m Message) recordShape(t *testing.T, build string) {
 	t.Helper()
 	current := shapeOf(reflect.TypeOf(m.Value))
-	for _, kept := range m.kept(t) {
-		if reflect.DeepEqual(kept.shape, current) {
+	for _, recorded := range m.loadRecorded(t) {
+		if reflect.DeepEqual(recorded.shape, current) {
 			return
 		}
 	}
@@ -96,23 +101,24 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := os.MkdirAll(m.folder(), 0o755); err != nil {
+	if err := os.MkdirAll(m.directory(), 0o755); err != nil {
 		t.Fatal(err)
 	}
-	path := filepath.Join(m.folder(), build)
-	if err := os.WriteFile(path+shapeEnding, append(shape, '\n'), 0o644); err != nil {
+	path := filepath.Join(m.directory(), build)
+	if err := os.WriteFile(path+shapeExtension, append(shape, '\n'), 0o644); err != nil {
 		t.Fatal(err)
 	}
-	if err := os.WriteFile(path+encodedEnding, m.encode(t), 0o644); err != nil {
+	if err := os.WriteFile(path+encodedExtension, m.encode(t), 0o644); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// encode returns a message of this build in which each part holds what its path stands for.
+// encode returns an encoded message of this build in which the value of each part
+// is derived from its path.
 func (m Message) encode(t *testing.T) []byte {
 	t.Helper()
 	value := reflect.New(reflect.TypeOf(m.Value)).Elem()
-	fill(value, "")
+	fillFromPath(value, "")
 	encoded, err := m.Codec.Encode(value.Interface())
 	if err != nil {
 		t.Fatal(err)
@@ -120,88 +126,91 @@
 	return encoded
 }
 
-// keptShape is the shape that a message had in a build, and a message of that build.
-type keptShape struct {
+// recordedMessage is the shape that a message had in a build, and an encoded
+// message of that build.
+type recordedMessage struct {
 	build   string
 	shape   Shape
 	encoded []byte
 }
 
-func (m Message) kept(t *testing.T) []keptShape {
+func (m Message) loadRecorded(t *testing.T) []recordedMessage {
 	t.Helper()
-	names, err := filepath.Glob(filepath.Join(m.folder(), "*"+shapeEnding))
+	names, err := filepath.Glob(filepath.Join(m.directory(), "*"+shapeExtension))
 	if err != nil {
 		t.Fatal(err)
 	}
 	slices.Sort(names)
-	var all []keptShape
+	var messages []recordedMessage
 	for _, name := range names {
-		kept := keptShape{build: strings.TrimSuffix(filepath.Base(name), shapeEnding)}
+		recorded := recordedMessage{build: strings.TrimSuffix(filepath.Base(name), shapeExtension)}
 		text, err := os.ReadFile(name)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := json.Unmarshal(text, &kept.shape); err != nil {
+		if err := json.Unmarshal(text, &recorded.shape); err != nil {
 			t.Fatal(err)
 		}
-		if kept.encoded, err = os.ReadFile(strings.TrimSuffix(name, shapeEnding) + encodedEnding); err != nil {
+		if recorded.encoded, err = os.ReadFile(strings.TrimSuffix(name, shapeExtension) + encodedExtension); err != nil {
 			t.Fatal(err)
 		}
-		all = append(all, kept)
+		messages = append(messages, recorded)
 	}
-	return all
+	return messages
 }
 
 func (m Message) check(t *testing.T) {
 	current := shapeOf(reflect.TypeOf(m.Value))
-	isKept := false
-	for _, kept := range m.kept(t) {
-		isKept = isKept || reflect.DeepEqual(kept.shape, current)
-		m.checkAgainst(t, current, kept)
+	isRecorded := false
+	for _, recorded := range m.loadRecorded(t) {
+		isRecorded = isRecorded || reflect.DeepEqual(recorded.shape, current)
+		m.checkCompatible(t, current, recorded)
 	}
-	if !isKept {
-		t.Errorf("the shape of %s has changed, and is not kept for later builds: read docs/design/builds.md, then go test -wire.record=BUILD", m.Name)
+	if !isRecorded {
+		t.Errorf("the shape of %s changed and is not recorded: read docs/design/builds.md, then run go test -wire.record=BUILD", m.Name)
 	}
 }
 
-// checkAgainst checks that this build and an earlier one read each other's messages with one meaning.
-func (m Message) checkAgainst(t *testing.T, current Shape, earlier keptShape) {
+// checkCompatible checks that this build and a recorded one decode each other's
+// messages to the same values.
+func (m Message) checkCompatible(t *testing.T, current Shape, recorded recordedMessage) {
 	t.Helper()
-	here, there := make(map[string]string), make(map[string]string)
-	current.paths("", here)
-	earlier.shape.paths("", there)
-	for path, kind := range there {
-		if here[path] != kind {
-			t.Errorf("%s: %s was of kind %s and is of kind %q: parts stay as they are, another meaning takes another name", earlier.build, path, kind, here[path])
+	currentKinds, recordedKinds := make(map[string]string), make(map[string]string)
+	current.addKinds("", currentKinds)
+	recorded.shape.addKinds("", recordedKinds)
+	for path, kind := range recordedKinds {
+		if currentKinds[path] != kind {
+			t.Errorf("%s: %s had kind %s and now has kind %q: existing parts must not change; a new meaning needs a new name", recorded.build, path, kind, currentKinds[path])
 		}
 	}
-	for path := range here {
-		if _, known := there[path]; !known && !m.tells(path) {
-			t.Errorf("%s: %s was added, and Added does not tell what its absence means", earlier.build, path)
+	for path := range currentKinds {
+		if _, known := recordedKinds[path]; !known && !m.isDocumented(path) {
+			t.Errorf("%s: %s was added, but Added does not document what its absence means", recorded.build, path)
 		}
 	}
-	m.checkDecoded(t, earlier.build+" to this build", earlier.encoded, reflect.TypeOf(m.Value), there)
-	m.checkDecoded(t, "this build to "+earlier.build, m.encode(t), typeOf(earlier.shape), here)
+	m.checkDecoded(t, recorded.build+" to this build", recorded.encoded, reflect.TypeOf(m.Value), recordedKinds)
+	m.checkDecoded(t, "this build to "+recorded.build, m.encode(t), newType(recorded.shape), currentKinds)
 }
 
-// tells says whether Added tells of a part, or of one that it belongs to.
-func (m Message) tells(path string) bool {
+// isDocumented reports whether Added has an entry for the part at path or for a
+// part that contains it.
+func (m Message) isDocumented(path string) bool {
 	for added := range m.Added {
-		if path == added || strings.HasPrefix(path, added+".") || strings.HasPrefix(path, added+elemPath) {
+		if path == added || strings.HasPrefix(path, added+".") || strings.HasPrefix(path, added+elemSuffix) {
 			return true
 		}
 	}
 	return false
 }
 
-func (m Message) checkDecoded(t *testing.T, way string, encoded []byte, decoder reflect.Type, sent map[string]string) {
+func (m Message) checkDecoded(t *testing.T, direction string, encoded []byte, decoderType reflect.Type, encoderKinds map[string]string) {
 	t.Helper()
-	value := reflect.New(decoder)
+	value := reflect.New(decoderType)
 	if err := m.Codec.Decode(encoded, value.Interface()); err != nil {
-		t.Errorf("%s: %v", way, err)
+		t.Errorf("%s: %v", direction, err)
 		return
 	}
-	for _, fault := range faultsOf(value.Elem(), "", sent) {
-		t.Errorf("%s: %s", way, fault)
+	for _, mismatch := range findMismatches(value.Elem(), "", encoderKinds) {
+		t.Errorf("%s: %s", direction, mismatch)
 	}
 }
