--- a/internal/frontend/usage.go
+++ b/internal/frontend/usage.go
@@ -27,11 +27,11 @@
 	log := n.options.Adapter.Log()
 	length := seconds(settings.Usage.WindowSeconds)
 	sender := usage.NewSender(usage.SenderOptions{
-		Log: log, Process: n.process(), Length: length, Forward: n.forwardUsage, Logger: logger.Named("usage"),
-		Lost: func(requests int) { n.metrics.usageLost.Add(float64(requests)) },
+		Log: log, Process: n.process(), WindowLength: length, Forward: n.forwardUsage, Logger: logger.Named("usage"),
+		OnLost: func(requests int) { n.metrics.usageLost.Add(float64(requests)) },
 	})
 	reporter := usage.NewReporter(usage.ReporterOptions{
-		Log: log, Provider: n.options.Adapter.Provider(), Length: length, Lateness: seconds(settings.Usage.LatenessSeconds),
+		Log: log, Provider: n.options.Adapter.Provider(), WindowLength: length, Lateness: seconds(settings.Usage.LatenessSeconds),
 		Term: n.term, Logger: logger.Named("usage"),
 		Observe: func(outcome string) { n.metrics.usageReports.WithLabelValues(outcome).Inc() },
 	})
@@ -53,7 +53,7 @@
 	if address == "" {
 		return errNobodyKnown
 	}
-	return usage.AskToAppend(ctx, address, record)
+	return usage.AppendVia(ctx, address, record)
 }
 
 // term returns this node's hold of the lease, for what is done at the provider under it.
--- a/internal/usage/call.go
+++ b/internal/usage/call.go
@@ -10,34 +10,35 @@
 	"dalehook/internal/store"
 )
 
-// The calls of the service by which nodes append for each other.
+// The RPC service through which nodes append records for each other.
 const (
 	serviceName  = "Usage"
 	methodAppend = serviceName + ".Append"
 )
 
-// AppendQuestion holds a record that its node could not append.
-type AppendQuestion struct{ Record []byte }
+// AppendRequest carries an encoded record that its sender could not append itself.
+type AppendRequest struct{ Record []byte }
 
-// AppendAnswer says that the record stands in the store.
-type AppendAnswer struct{}
+// AppendReply confirms that the store has the record.
+type AppendReply struct{}
 
 type service struct{ log store.Log }
 
-// Register has a server append the records of nodes that can not reach the store.
+// Register adds the service to a server, so that nodes that cannot reach the store can append
+// through this one.
 func Register(server *rpc.Server, log store.Log) error {
-	return eris.Wrap(server.RegisterName(serviceName, &service{log: log}), "register the calls about usage")
+	return eris.Wrap(server.RegisterName(serviceName, &service{log: log}), "register the usage service")
 }
 
-// Append appends a record of another node.
-func (s *service) Append(question AppendQuestion, _ *AppendAnswer) error {
+// Append appends a record on behalf of another node.
+func (s *service) Append(request AppendRequest, _ *AppendReply) error {
 	ctx, cancel := context.WithTimeout(context.Background(), appendTimeout)
 	defer cancel()
-	_, err := s.log.Append(ctx, Partition, [][]byte{question.Record})
+	_, err := s.log.Append(ctx, Partition, [][]byte{request.Record})
 	return err
 }
 
-// AskToAppend has the node at an address append a record.
-func AskToAppend(ctx context.Context, address string, encoded []byte) error {
-	return nodecall.Call(ctx, address, methodAppend, AppendQuestion{Record: encoded}, &AppendAnswer{})
+// AppendVia asks the node at an address to append an encoded record.
+func AppendVia(ctx context.Context, address string, encoded []byte) error {
+	return nodecall.Call(ctx, address, methodAppend, AppendRequest{Record: encoded}, &AppendReply{})
 }
--- a/internal/usage/counter.go
+++ b/internal/usage/counter.go
@@ -6,60 +6,60 @@
 	"time"
 )
 
-// Counter collects what one process counts until it stands in the store. It is used by one
-// goroutine at a time.
+// Counter accumulates the counts of one process until the store has them. It is not safe for
+// concurrent use.
 type Counter struct {
-	process  string
-	length   time.Duration
-	keepFor  time.Duration
-	sequence int64
-	// open holds what no batch has taken yet.
-	open map[countOf]int
-	// batch was taken and does not stand in the store for certain; nil for none.
-	batch *Batch
+	process      string
+	windowLength time.Duration
+	retention    time.Duration
+	sequence     int64
+	// unbatched holds the counts that are not part of a batch yet.
+	unbatched map[countKey]int
+	// unconfirmed is the batch handed out for appending whose append is not confirmed; nil for none.
+	unconfirmed *Batch
 }
 
-type countOf struct {
+type countKey struct {
 	window Window
 	tenant string
 }
 
-// NewCounter returns the counter of a process, for windows of a length. What could not be
-// appended for keepFor after its window ended is dropped.
-func NewCounter(process string, length, keepFor time.Duration) *Counter {
-	return &Counter{process: process, length: length, keepFor: keepFor, open: make(map[countOf]int)}
+// NewCounter returns the counter of a process. Counts that could not be appended within the
+// retention after the end of their window are dropped.
+func NewCounter(process string, windowLength, retention time.Duration) *Counter {
+	return &Counter{process: process, windowLength: windowLength, retention: retention, unbatched: make(map[countKey]int)}
 }
 
-// Add counts a request of a tenant that began at a time.
+// Add counts one request of a tenant that started at the given time.
 func (c *Counter) Add(tenantName string, at time.Time) {
-	c.open[countOf{window: WindowAt(at, c.length), tenant: tenantName}]++
+	c.unbatched[countKey{window: WindowAt(at, c.windowLength), tenant: tenantName}]++
 }
 
-// Pending says whether anything does not stand in the store yet.
-func (c *Counter) Pending() bool { return c.batch != nil || len(c.open) > 0 }
+// Pending reports whether there are counts that the store is not known to have.
+func (c *Counter) Pending() bool { return c.unconfirmed != nil || len(c.unbatched) > 0 }
 
-// Next returns the batch to append, nil for none: the same one until HandleAppended, since an
-// append without an answer may have been carried out. Dropped is the number of requests that
-// are given up since their windows ended too long ago.
-func (c *Counter) Next(now time.Time) (next *Batch, dropped int) {
-	if c.batch != nil && c.tooOld(now, c.batch.Counts[len(c.batch.Counts)-1].Window) {
-		for _, count := range c.batch.Counts {
+// NextBatch returns the batch to append, nil for none. It returns the same batch until
+// HandleAppended, since an append without an answer may have been carried out. Dropped is the
+// number of requests discarded because the retention of their windows has passed.
+func (c *Counter) NextBatch(now time.Time) (next *Batch, dropped int) {
+	if c.unconfirmed != nil && c.isExpired(now, c.unconfirmed.Counts[len(c.unconfirmed.Counts)-1].Window) {
+		for _, count := range c.unconfirmed.Counts {
 			dropped += count.Requests
 		}
-		c.batch = nil
+		c.unconfirmed = nil
 	}
-	if c.batch != nil {
-		return c.batch, dropped
+	if c.unconfirmed != nil {
+		return c.unconfirmed, dropped
 	}
 	var counts []Count
-	for key, requests := range c.open {
-		if c.tooOld(now, key.window) {
+	for key, requests := range c.unbatched {
+		if c.isExpired(now, key.window) {
 			dropped += requests
 			continue
 		}
 		counts = append(counts, Count{Window: key.window, Tenant: key.tenant, Requests: requests})
 	}
-	clear(c.open)
+	clear(c.unbatched)
 	if len(counts) == 0 {
 		return nil, dropped
 	}
@@ -67,13 +67,13 @@
 		return cmp.Or(cmp.Compare(a.Window, b.Window), cmp.Compare(a.Tenant, b.Tenant))
 	})
 	c.sequence++
-	c.batch = &Batch{Process: c.process, Sequence: c.sequence, Counts: counts}
-	return c.batch, dropped
+	c.unconfirmed = &Batch{Process: c.process, Sequence: c.sequence, Counts: counts}
+	return c.unconfirmed, dropped
 }
 
-func (c *Counter) tooOld(now time.Time, window Window) bool {
-	return now.Sub(window.End(c.length)) > c.keepFor
+func (c *Counter) isExpired(now time.Time, window Window) bool {
+	return now.Sub(window.End(c.windowLength)) > c.retention
 }
 
-// HandleAppended notes that the batch stands in the store.
-func (c *Counter) HandleAppended() { c.batch = nil }
+// HandleAppended records that the store has the batch.
+func (c *Counter) HandleAppended() { c.unconfirmed = nil }
--- a/internal/usage/ledger.go
+++ b/internal/usage/ledger.go
@@ -7,127 +7,128 @@
 	"slices"
 )
 
-// Ledger folds the records of the partition, in order. It is used by one goroutine.
+// Ledger aggregates the records of the partition, applied in order. It is not safe for concurrent
+// use.
 type Ledger struct {
-	// keep is how many windows behind the last closed one are still known.
-	keep Window
-	open map[Window]map[string]int
-	// closed holds the final counts of windows.
-	closed map[Window]map[string]int
-	// last is the last window that was closed, with known set.
-	last  Window
-	known bool
-	// seen holds the newest batch of each process.
-	seen map[string]seenBatch
-	// late counts the requests that came after their window had been closed.
-	late int
-	// closedAt holds the offsets of the records that closed windows.
-	closedAt map[Window]int64
+	// retainedWindows is how many windows before the last closed one are kept.
+	retainedWindows Window
+	openCounts      map[Window]map[string]int
+	// closedCounts holds the final counts of closed windows.
+	closedCounts map[Window]map[string]int
+	// lastClosed is the last window that was closed; valid if anyClosed is set.
+	lastClosed Window
+	anyClosed  bool
+	// latestBatches holds the position of the latest batch of each process, which detects duplicates.
+	latestBatches map[string]batchPosition
+	// lateRequests counts the requests whose batch came after their window had been closed.
+	lateRequests int
+	// closeOffsets holds the offsets of the records that closed windows.
+	closeOffsets map[Window]int64
 }
 
-type seenBatch struct {
-	sequence int64
-	window   Window
+type batchPosition struct {
+	sequence     int64
+	newestWindow Window
 }
 
-// NewLedger returns the ledger of no records. It forgets what is more than keep windows
-// behind the last closed one.
-func NewLedger(keep int) *Ledger {
+// NewLedger returns an empty ledger. It discards state that is more than retainedWindows windows
+// before the last closed one.
+func NewLedger(retainedWindows int) *Ledger {
 	return &Ledger{
-		keep: Window(keep), open: make(map[Window]map[string]int), closed: make(map[Window]map[string]int),
-		seen: make(map[string]seenBatch), closedAt: make(map[Window]int64),
+		retainedWindows: Window(retainedWindows), openCounts: make(map[Window]map[string]int), closedCounts: make(map[Window]map[string]int),
+		latestBatches: make(map[string]batchPosition), closeOffsets: make(map[Window]int64),
 	}
 }
 
-// Apply takes the record at an offset.
+// Apply processes the encoded record at an offset.
 func (l *Ledger) Apply(offset int64, payload []byte) error {
-	var read record
-	if err := json.Unmarshal(payload, &read); err != nil {
+	var decoded record
+	if err := json.Unmarshal(payload, &decoded); err != nil {
 		return fmt.Errorf("decode a usage record at offset %d: %w", offset, err)
 	}
 	switch {
-	case read.Batch != nil:
-		l.add(read.Batch)
-	case read.Close != nil:
-		l.close(offset, *read.Close)
+	case decoded.Batch != nil:
+		l.addBatch(decoded.Batch)
+	case decoded.Close != nil:
+		l.closeWindow(offset, *decoded.Close)
 	}
 	return nil
 }
 
-func (l *Ledger) add(batch *Batch) {
-	if l.seen[batch.Process].sequence >= batch.Sequence {
-		return // a second copy
+func (l *Ledger) addBatch(batch *Batch) {
+	if l.latestBatches[batch.Process].sequence >= batch.Sequence {
+		return // a duplicate, appended again after an unanswered append
 	}
-	seen := seenBatch{sequence: batch.Sequence}
+	position := batchPosition{sequence: batch.Sequence}
 	for _, count := range batch.Counts {
-		seen.window = max(seen.window, count.Window)
+		position.newestWindow = max(position.newestWindow, count.Window)
 		if l.isClosed(count.Window) {
-			l.late += count.Requests
+			l.lateRequests += count.Requests
 			continue
 		}
-		if l.open[count.Window] == nil {
-			l.open[count.Window] = make(map[string]int)
+		if l.openCounts[count.Window] == nil {
+			l.openCounts[count.Window] = make(map[string]int)
 		}
-		l.open[count.Window][count.Tenant] += count.Requests
+		l.openCounts[count.Window][count.Tenant] += count.Requests
 	}
-	l.seen[batch.Process] = seen
+	l.latestBatches[batch.Process] = position
 }
 
-// isClosed says whether a window takes no more counts: windows are closed in order.
-func (l *Ledger) isClosed(window Window) bool { return l.known && window <= l.last }
+// isClosed reports whether a window accepts no more counts. Windows are closed in order.
+func (l *Ledger) isClosed(window Window) bool { return l.anyClosed && window <= l.lastClosed }
 
-func (l *Ledger) close(offset int64, window Window) {
+func (l *Ledger) closeWindow(offset int64, window Window) {
 	if l.isClosed(window) {
 		return
 	}
-	l.closed[window] = l.open[window]
-	if l.closed[window] == nil {
-		l.closed[window] = make(map[string]int)
+	l.closedCounts[window] = l.openCounts[window]
+	if l.closedCounts[window] == nil {
+		l.closedCounts[window] = make(map[string]int)
 	}
-	l.closedAt[window] = offset
-	l.last, l.known = window, true
-	l.forget()
+	l.closeOffsets[window] = offset
+	l.lastClosed, l.anyClosed = window, true
+	l.prune()
 }
 
-func (l *Ledger) forget() {
-	maps.DeleteFunc(l.open, func(window Window, _ map[string]int) bool { return window <= l.last })
-	maps.DeleteFunc(l.closed, func(window Window, _ map[string]int) bool { return window+l.keep < l.last })
-	maps.DeleteFunc(l.closedAt, func(window Window, _ int64) bool { return window+l.keep < l.last })
-	maps.DeleteFunc(l.seen, func(_ string, seen seenBatch) bool { return seen.window+l.keep < l.last })
+func (l *Ledger) prune() {
+	maps.DeleteFunc(l.openCounts, func(window Window, _ map[string]int) bool { return window <= l.lastClosed })
+	maps.DeleteFunc(l.closedCounts, func(window Window, _ map[string]int) bool { return window+l.retainedWindows < l.lastClosed })
+	maps.DeleteFunc(l.closeOffsets, func(window Window, _ int64) bool { return window+l.retainedWindows < l.lastClosed })
+	maps.DeleteFunc(l.latestBatches, func(_ string, seen batchPosition) bool { return seen.newestWindow+l.retainedWindows < l.lastClosed })
 }
 
-// Next returns the window to close next: the one after the last closed, else the first that
-// has counts, and first where there are none.
-func (l *Ledger) Next(first Window) Window {
-	if l.known {
-		return l.last + 1
+// NextToClose returns the window to close next: the one after the last closed window; without
+// one, the first window that has counts, but none after first.
+func (l *Ledger) NextToClose(first Window) Window {
+	if l.anyClosed {
+		return l.lastClosed + 1
 	}
-	for window := range l.open {
+	for window := range l.openCounts {
 		first = min(first, window)
 	}
 	return first
 }
 
-// Closed returns the windows whose counts are final and known, in order.
-func (l *Ledger) Closed() []Window { return slices.Sorted(maps.Keys(l.closed)) }
+// ClosedWindows returns the retained windows with final counts, in ascending order.
+func (l *Ledger) ClosedWindows() []Window { return slices.Sorted(maps.Keys(l.closedCounts)) }
 
 // Counts returns the final counts of a window.
 func (l *Ledger) Counts(window Window) (counts map[string]int, final bool) {
-	counts, final = l.closed[window]
+	counts, final = l.closedCounts[window]
 	return counts, final
 }
 
-// Late returns the number of requests that were counted too late so far.
-func (l *Ledger) Late() int { return l.late }
+// LateRequests returns the number of requests so far that arrived after their window was closed.
+func (l *Ledger) LateRequests() int { return l.lateRequests }
 
-// Needless returns the offset before which the partition holds nothing that is still needed:
-// all counts there are of windows that were closed long ago.
-func (l *Ledger) Needless() int64 {
-	oldest := int64(0)
-	for window, offset := range l.closedAt {
-		if window+l.keep <= l.last+1 {
-			oldest = max(oldest, offset)
+// TrimOffset returns the offset before which the partition can be trimmed: all counts there
+// belong to windows that are no longer retained.
+func (l *Ledger) TrimOffset() int64 {
+	trimOffset := int64(0)
+	for window, offset := range l.closeOffsets {
+		if window+l.retainedWindows <= l.lastClosed+1 {
+			trimOffset = max(trimOffset, offset)
 		}
 	}
-	return oldest
+	return trimOffset
 }
--- a/internal/usage/reporter.go
+++ b/internal/usage/reporter.go
@@ -15,48 +15,49 @@
 // Report is the usage of one window.
 type Report struct {
 	Window Window
-	// Counts holds the requests that began, by tenant.
+	// Counts holds the number of requests that started in the window, by tenant.
 	Counts map[string]int
-	// Epoch is the lease's, which fences the report.
+	// Epoch is the epoch of the lease, the fencing token of the report.
 	Epoch int64
 }
 
-// Provider takes reports. A report that got no answer may be taken seconds later.
+// Provider accepts reports. A report without an answer may be accepted seconds later.
 type Provider interface {
 	ReportUsage(ctx context.Context, report Report) error
 }
 
 const (
-	// closeShare is the share of the time for a report after which a window is closed. Until
-	// then nodes that stood still or were cut off append what they counted; afterwards a
-	// successor still has the time to take over and report.
-	closeShare = 0.65
-	// latestShare is the share at which a window is closed though an outage of the store has
-	// just ended.
-	latestShare = 0.9
-	// backlogTime is how long after an outage of the store the nodes append what they
-	// counted meanwhile: their longest pause between two tries, and the append.
-	backlogTime = longestRetry + 400*time.Millisecond
-	// reporterTick is the time between two looks at what is due.
-	reporterTick = 100 * time.Millisecond
+	// closeFraction is the fraction of the report's lateness bound after which a window is
+	// closed. Until then nodes that were suspended or disconnected can append their counts;
+	// afterwards a successor still has time to take over and report.
+	closeFraction = 0.65
+	// latestCloseFraction is the fraction after which a window is closed even if an outage of
+	// the store has only just ended.
+	latestCloseFraction = 0.9
+	// backlogDuration is how long after an outage of the store nodes may take to append the
+	// counts of the outage: their maximum retry delay plus the append itself.
+	backlogDuration = maxRetryDelay + 400*time.Millisecond
+	// reporterInterval is the time between two checks for due windows.
+	reporterInterval = 100 * time.Millisecond
 	// reportTimeout bounds one report.
 	reportTimeout = 1500 * time.Millisecond
-	// reportRetry is the time between a report that failed and the next try.
-	reportRetry = 400 * time.Millisecond
-	// mostWindows is how many windows back a holder closes and reports, and for how many the
-	// partition is kept.
-	mostWindows = 12
+	// reportRetryDelay is the delay after a failed report.
+	reportRetryDelay = 400 * time.Millisecond
+	// maxWindows is how many past windows a holder closes and reports, and for how many the
+	// partition keeps records.
+	maxWindows = 12
 )
 
 // ReporterOptions configure a Reporter.
 type ReporterOptions struct {
 	Log      store.Log
 	Provider Provider
-	// Length is that of a window, Lateness the time after its end by which it is due.
-	Length, Lateness time.Duration
-	// Term returns this process's hold of the lease.
+	// WindowLength is the duration of a window; Lateness is how long after its end its report is
+	// due.
+	WindowLength, Lateness time.Duration
+	// Term returns this process's term as holder of the lease.
 	Term func() duty.Term
-	// Observe is told of each report and what came of it.
+	// Observe is called with the outcome of each report.
 	Observe func(outcome string)
 	Logger  *zap.Logger
 }
@@ -68,29 +69,29 @@
 
 	epoch  int64
 	ledger *Ledger
-	// next is the offset to read; loaded says that the partition was read to its end.
-	next   int64
-	loaded bool
-	// first is the window in which the term began.
-	first Window
-	// reported holds the windows that were taken in this term.
+	// nextOffset is the offset to read from; loaded is set once the partition was read to its end.
+	nextOffset int64
+	loaded     bool
+	// firstWindow is the window in which the term began.
+	firstWindow Window
+	// reported holds the windows whose report was accepted in this term.
 	reported map[Window]bool
-	// fenced says that a later holder has reported.
+	// fenced is set once a report was refused because a later holder has reported.
 	fenced bool
-	// outageUntil is when the store last failed.
-	outageUntil time.Time
-	// retryAt is when a report may be tried again.
+	// lastStoreFailure is when a call to the store last failed.
+	lastStoreFailure time.Time
+	// retryAt is the earliest time of the next report after a failed one.
 	retryAt time.Time
 }
 
-// NewReporter returns a reporter without the lease.
+// NewReporter returns a reporter that has not begun a term.
 func NewReporter(options ReporterOptions) *Reporter {
 	return &Reporter{options: options, clock: NewClock()}
 }
 
-// Run works until the context ends.
+// Run closes and reports windows until the context ends.
 func (r *Reporter) Run(ctx context.Context) {
-	for pause.For(ctx, reporterTick) {
+	for pause.For(ctx, reporterInterval) {
 		if err := r.step(ctx); err != nil && ctx.Err() == nil {
 			r.options.Logger.Warn("usage not reported", zap.Int64("epoch", r.epoch), zap.Error(err))
 		}
@@ -103,52 +104,53 @@
 		return nil
 	}
 	if r.ledger == nil || r.epoch != term.Epoch {
-		r.begin(term)
+		r.beginTerm(term)
 	}
 	if r.fenced {
 		return nil
 	}
-	if err := r.closeDue(ctx); err != nil {
-		r.outageUntil = r.clock.Now()
+	if err := r.closeDueWindows(ctx); err != nil {
+		r.lastStoreFailure = r.clock.Now()
 		return err
 	}
-	return r.reportClosed(ctx)
+	return r.reportClosedWindows(ctx)
 }
 
-// begin starts a term: what predecessors closed is read again, and reported again where it
-// may not have been.
-func (r *Reporter) begin(term duty.Term) {
+// beginTerm starts a term. The partition is read from its start, and windows that predecessors
+// closed but may not have reported are reported again.
+func (r *Reporter) beginTerm(term duty.Term) {
 	r.epoch = term.Epoch
-	r.ledger, r.next, r.loaded = NewLedger(mostWindows), 0, false
-	r.first = WindowAt(r.clock.Now(), r.options.Length)
+	r.ledger, r.nextOffset, r.loaded = NewLedger(maxWindows), 0, false
+	r.firstWindow = WindowAt(r.clock.Now(), r.options.WindowLength)
 	r.reported = make(map[Window]bool)
 	r.fenced, r.retryAt = false, time.Time{}
 }
 
-// share returns a share of the time that there is for a report.
-func (r *Reporter) share(share float64) time.Duration {
-	return time.Duration(share * float64(r.options.Lateness))
+// latenessFraction returns a fraction of the lateness bound of reports.
+func (r *Reporter) latenessFraction(fraction float64) time.Duration {
+	return time.Duration(fraction * float64(r.options.Lateness))
 }
 
-// closeDue closes the windows whose time has come, and reads the partition up to there.
-func (r *Reporter) closeDue(ctx context.Context) error {
+// closeDueWindows closes the windows that are due and reads the partition up to their close
+// records.
+func (r *Reporter) closeDueWindows(ctx context.Context) error {
 	if !r.loaded {
-		if err := r.read(ctx); err != nil {
+		if err := r.readPartition(ctx); err != nil {
 			return err
 		}
 	}
 	for {
 		now := r.clock.Now()
-		window := max(r.ledger.Next(r.first), WindowAt(now, r.options.Length)-mostWindows)
-		end := window.End(r.options.Length)
-		closeAt := end.Add(r.share(closeShare))
-		if settled := r.outageUntil.Add(backlogTime); settled.After(closeAt) {
-			closeAt = earlier(settled, end.Add(r.share(latestShare)))
+		window := max(r.ledger.NextToClose(r.firstWindow), WindowAt(now, r.options.WindowLength)-maxWindows)
+		end := window.End(r.options.WindowLength)
+		closeAt := end.Add(r.latenessFraction(closeFraction))
+		if backlogEnd := r.lastStoreFailure.Add(backlogDuration); backlogEnd.After(closeAt) {
+			closeAt = earlier(backlogEnd, end.Add(r.latenessFraction(latestCloseFraction)))
 		}
 		if now.Before(closeAt) {
 			return nil
 		}
-		if err := r.close(ctx, window); err != nil {
+		if err := r.closeWindow(ctx, window); err != nil {
 			return err
 		}
 	}
@@ -161,97 +163,98 @@
 	return b
 }
 
-func (r *Reporter) close(ctx context.Context, window Window) error {
+func (r *Reporter) closeWindow(ctx context.Context, window Window) error {
 	encoded, err := EncodeClose(window)
 	if err != nil {
 		return err
 	}
-	call, cancel := context.WithTimeout(ctx, appendTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, appendTimeout)
 	defer cancel()
-	if _, err := r.options.Log.Append(call, Partition, [][]byte{encoded}); err != nil {
+	if _, err := r.options.Log.Append(callCtx, Partition, [][]byte{encoded}); err != nil {
 		return err
 	}
-	if err := r.read(ctx); err != nil {
+	if err := r.readPartition(ctx); err != nil {
 		return err
 	}
 	r.trim(ctx)
 	return nil
 }
 
-// read reads the partition to its end.
-func (r *Reporter) read(ctx context.Context) error {
-	call, cancel := context.WithTimeout(ctx, 2*appendTimeout)
+// readPartition reads the partition from nextOffset to its end.
+func (r *Reporter) readPartition(ctx context.Context) error {
+	callCtx, cancel := context.WithTimeout(ctx, 2*appendTimeout)
 	defer cancel()
-	late := r.ledger.Late()
-	ended, err := store.ReadOn(call, r.options.Log, Partition, r.next, func(batch store.Batch) bool {
+	lateBefore := r.ledger.LateRequests()
+	reachedEnd, err := store.ReadOn(callCtx, r.options.Log, Partition, r.nextOffset, func(batch store.Batch) bool {
 		for _, record := range batch.Records {
 			if err := r.ledger.Apply(record.Offset, record.Value); err != nil {
-				r.options.Logger.Error("usage record void", zap.Error(err))
+				r.options.Logger.Error("invalid usage record", zap.Error(err))
 			}
 		}
-		r.next = batch.Next
+		r.nextOffset = batch.Next
 		return true
 	})
-	if came := r.ledger.Late() - late; came > 0 {
-		r.options.Logger.Warn("usage came after its window was closed", zap.Int("requests", came))
+	if newlyLate := r.ledger.LateRequests() - lateBefore; newlyLate > 0 {
+		r.options.Logger.Warn("usage came after its window was closed", zap.Int("requests", newlyLate))
 	}
-	r.loaded = r.loaded || ended
+	r.loaded = r.loaded || reachedEnd
 	return err
 }
 
-// trim drops what no later holder needs. What remains after a failure is dropped next time.
+// trim removes the records that no later holder needs. After a failure they are removed by the
+// next call.
 func (r *Reporter) trim(ctx context.Context) {
-	before := r.ledger.Needless()
+	before := r.ledger.TrimOffset()
 	if before == 0 {
 		return
 	}
-	call, cancel := context.WithTimeout(ctx, appendTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, appendTimeout)
 	defer cancel()
-	if err := r.options.Log.Trim(call, Partition, before); err != nil {
+	if err := r.options.Log.Trim(callCtx, Partition, before); err != nil {
 		r.options.Logger.Warn("usage not trimmed", zap.Int64("before", before), zap.Error(err))
 	}
 }
 
-// reportClosed reports the closed windows, the oldest first.
-func (r *Reporter) reportClosed(ctx context.Context) error {
+// reportClosedWindows reports the closed windows, oldest first.
+func (r *Reporter) reportClosedWindows(ctx context.Context) error {
 	now := r.clock.Now()
 	if now.Before(r.retryAt) {
 		return nil
 	}
-	for _, window := range r.ledger.Closed() {
-		expired := now.Sub(window.End(r.options.Length)) > mostWindows*r.options.Length
-		if r.reported[window] || expired || r.handledBefore(window) {
+	for _, window := range r.ledger.ClosedWindows() {
+		expired := now.Sub(window.End(r.options.WindowLength)) > maxWindows*r.options.WindowLength
+		if r.reported[window] || expired || r.reportedByPredecessor(window) {
 			continue
 		}
-		if err := r.report(ctx, window); err != nil {
-			r.retryAt = r.clock.Now().Add(reportRetry)
+		if err := r.reportWindow(ctx, window); err != nil {
+			r.retryAt = r.clock.Now().Add(reportRetryDelay)
 			return err
 		}
 	}
 	return nil
 }
 
-// handledBefore says whether a window was due before this term began by so long that its
-// holder of the time has reported it.
-func (r *Reporter) handledBefore(window Window) bool {
-	return window+2 < r.first-Window(r.options.Lateness/r.options.Length)
+// reportedByPredecessor reports whether a window was due so long before this term began that the
+// holder at that time has reported it.
+func (r *Reporter) reportedByPredecessor(window Window) bool {
+	return window+2 < r.firstWindow-Window(r.options.Lateness/r.options.WindowLength)
 }
 
-func (r *Reporter) report(ctx context.Context, window Window) error {
+func (r *Reporter) reportWindow(ctx context.Context, window Window) error {
 	counts, _ := r.ledger.Counts(window)
-	call, cancel := context.WithTimeout(ctx, reportTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
 	if term := r.options.Term(); !term.Covers(r.epoch) {
 		return nil
 	}
-	err := r.options.Provider.ReportUsage(call, Report{Window: window, Counts: counts, Epoch: r.epoch})
+	err := r.options.Provider.ReportUsage(callCtx, Report{Window: window, Counts: counts, Epoch: r.epoch})
 	requests := 0
 	for _, count := range counts {
 		requests += count
 	}
 	fields := []zap.Field{
 		zap.Int64("window", int64(window)), zap.Int("requests", requests), zap.Int("tenants", len(counts)), zap.Int64("epoch", r.epoch),
-		zap.Duration("after_end", r.clock.Now().Sub(window.End(r.options.Length))),
+		zap.Duration("after_end", r.clock.Now().Sub(window.End(r.options.WindowLength))),
 	}
 	switch {
 	case err == nil:
--- a/internal/usage/reporter_test.go
+++ b/internal/usage/reporter_test.go
@@ -18,32 +18,32 @@
 
 const testLateness = 10 * time.Second
 
-// provider is a stand-in of the service that takes reports: it refuses lower epochs than it
-// has seen, and notes whether two reports of a window differ.
-type provider struct {
+// fakeProvider is a Provider that refuses epochs below the highest it has seen and fails the test
+// if two reports of a window differ.
+type fakeProvider struct {
 	t     *testing.T
 	mutex sync.Mutex
-	// fail is what reports come to; nil takes them. A report that fails is taken all the
-	// same where lose is set.
-	fail error
-	lose bool
+	// err is returned for reports; nil accepts them. With dropAnswers set, a report is accepted
+	// although err is returned.
+	err         error
+	dropAnswers bool
 
-	epoch   int64
-	reports map[Window]map[string]int
-	late    int
-	calls   int
+	epoch       int64
+	reports     map[Window]map[string]int
+	lateReports int
+	calls       int
 }
 
-func newProvider(t *testing.T) *provider {
-	return &provider{t: t, reports: make(map[Window]map[string]int)}
+func newFakeProvider(t *testing.T) *fakeProvider {
+	return &fakeProvider{t: t, reports: make(map[Window]map[string]int)}
 }
 
-func (p *provider) ReportUsage(_ context.Context, report Report) error {
+func (p *fakeProvider) ReportUsage(_ context.Context, report Report) error {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.calls++
-	if p.fail != nil && !p.lose {
-		return p.fail
+	if p.err != nil && !p.dropAnswers {
+		return p.err
 	}
 	if report.Epoch < p.epoch {
 		return duty.ErrFenced
@@ -53,34 +53,34 @@
 		if diff := cmp.Diff(before, report.Counts); diff != "" {
 			p.t.Errorf("two reports of window %d differ: %s", report.Window, diff)
 		}
-	} else if time.Since(report.Window.End(testLength)) > testLateness {
-		p.late++
+	} else if time.Since(report.Window.End(testWindowLength)) > testLateness {
+		p.lateReports++
 	}
 	p.reports[report.Window] = report.Counts
-	return p.fail
+	return p.err
 }
 
-func (p *provider) set(fail error, lose bool) {
+func (p *fakeProvider) setFault(err error, dropAnswers bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.fail, p.lose = fail, lose
+	p.err, p.dropAnswers = err, dropAnswers
 }
 
-// holders is a lease that test processes hold in turn.
-type holders struct {
+// testLease is a lease that test processes hold in turn.
+type testLease struct {
 	mutex  sync.Mutex
 	epoch  int64
 	holder string
 }
 
-func (h *holders) take(holder string) {
+func (h *testLease) take(holder string) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	h.epoch++
 	h.holder = holder
 }
 
-func (h *holders) term(process string) func() duty.Term {
+func (h *testLease) term(process string) func() duty.Term {
 	return func() duty.Term {
 		h.mutex.Lock()
 		defer h.mutex.Unlock()
@@ -88,26 +88,26 @@
 	}
 }
 
-// world is a store, a provider and processes that count.
-type world struct {
+// simulation consists of a store, a provider and processes that count requests.
+type simulation struct {
 	t        *testing.T
 	ctx      context.Context
 	log      *storetest.Memory
-	provider *provider
-	lease    *holders
+	provider *fakeProvider
+	lease    *testLease
 	senders  map[string]*Sender
 	stops    map[string]context.CancelFunc
-	// truth is what began, by window and tenant.
-	truth map[Window]map[string]int
+	// expected holds the number of requests that started, by window and tenant.
+	expected map[Window]map[string]int
 }
 
-// play runs a scenario on a clock of its own.
-func play(t *testing.T, scenario func(w *world)) {
+// runScenario runs a scenario with four processes on a fake clock.
+func runScenario(t *testing.T, scenario func(w *simulation)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		w := &world{
-			t: t, ctx: ctx, log: storetest.NewMemory(), provider: newProvider(t), lease: &holders{},
-			senders: make(map[string]*Sender), stops: make(map[string]context.CancelFunc), truth: make(map[Window]map[string]int),
+		w := &simulation{
+			t: t, ctx: ctx, log: storetest.NewMemory(), provider: newFakeProvider(t), lease: &testLease{},
+			senders: make(map[string]*Sender), stops: make(map[string]context.CancelFunc), expected: make(map[Window]map[string]int),
 		}
 		for i := range 4 {
 			w.start(fmt.Sprint("p", i))
@@ -119,12 +119,12 @@
 	})
 }
 
-func (w *world) start(process string) {
+func (w *simulation) start(process string) {
 	ctx, stop := context.WithCancel(w.ctx)
 	w.stops[process] = stop
-	sender := NewSender(SenderOptions{Log: w.log, Process: process, Length: testLength, Lost: func(int) {}, Logger: zap.NewNop()})
+	sender := NewSender(SenderOptions{Log: w.log, Process: process, WindowLength: testWindowLength, OnLost: func(int) {}, Logger: zap.NewNop()})
 	reporter := NewReporter(ReporterOptions{
-		Log: w.log, Provider: w.provider, Length: testLength, Lateness: testLateness,
+		Log: w.log, Provider: w.provider, WindowLength: testWindowLength, Lateness: testLateness,
 		Term: w.lease.term(process), Observe: func(string) {}, Logger: zap.NewNop(),
 	})
 	w.senders[process] = sender
@@ -132,124 +132,125 @@
 	go reporter.Run(ctx)
 }
 
-// traffic counts a request each 50 ms for a time, at processes in turn.
-func (w *world) traffic(length time.Duration) {
+// generateTraffic counts a request every 50 ms for a length of time, rotating among the processes.
+func (w *simulation) generateTraffic(length time.Duration) {
 	for i := 0; length > 0; i++ {
 		process := fmt.Sprint("p", i%4)
 		tenantName := fmt.Sprint("tenant-", i%7)
 		now := time.Now()
 		w.senders[process].Count(tenantName, now)
-		window := WindowAt(now, testLength)
-		if w.truth[window] == nil {
-			w.truth[window] = make(map[string]int)
+		window := WindowAt(now, testWindowLength)
+		if w.expected[window] == nil {
+			w.expected[window] = make(map[string]int)
 		}
-		w.truth[window][tenantName]++
+		w.expected[window][tenantName]++
 		time.Sleep(50 * time.Millisecond)
 		length -= 50 * time.Millisecond
 	}
 }
 
-// check says whether the windows that are due were reported, right and in time.
-func (w *world) check() {
+// checkReports checks that the windows that are due were reported correctly and in time.
+func (w *simulation) checkReports() {
 	w.t.Helper()
 	time.Sleep(testLateness)
 	w.provider.mutex.Lock()
 	defer w.provider.mutex.Unlock()
-	for window, want := range w.truth {
-		if time.Since(window.End(testLength)) < testLateness {
+	for window, want := range w.expected {
+		if time.Since(window.End(testWindowLength)) < testLateness {
 			continue
 		}
 		if diff := cmp.Diff(want, w.provider.reports[window]); diff != "" {
 			w.t.Errorf("window %d: %s", window, diff)
 		}
 	}
-	if w.provider.late > 0 {
-		w.t.Errorf("%d windows were reported late", w.provider.late)
+	if w.provider.lateReports > 0 {
+		w.t.Errorf("%d windows were reported late", w.provider.lateReports)
 	}
 }
 
-func TestWindowsAreReportedOnce(t *testing.T) {
-	play(t, func(w *world) {
-		w.traffic(30 * time.Second)
-		w.check()
+func TestEachWindowIsReportedOnce(t *testing.T) {
+	runScenario(t, func(w *simulation) {
+		w.generateTraffic(30 * time.Second)
+		w.checkReports()
 		if w.provider.calls > 9 {
 			t.Errorf("%d reports", w.provider.calls)
 		}
 	})
 }
 
-func TestASuccessorReportsTheSame(t *testing.T) {
-	// A successor takes over at any time of the window.
+func TestSuccessorReportsSameCounts(t *testing.T) {
+	// The successor takes over at a different point of the window in each run.
 	for i := range 10 {
-		play(t, func(w *world) {
-			w.traffic(12*time.Second + time.Duration(i)*500*time.Millisecond)
+		runScenario(t, func(w *simulation) {
+			w.generateTraffic(12*time.Second + time.Duration(i)*500*time.Millisecond)
 			w.lease.take("")
-			w.traffic(2500 * time.Millisecond)
+			w.generateTraffic(2500 * time.Millisecond)
 			w.lease.take("p1")
-			w.traffic(15 * time.Second)
-			w.check()
+			w.generateTraffic(15 * time.Second)
+			w.checkReports()
 		})
 	}
 }
 
-func TestAReportWithoutAnAnswerIsRepeated(t *testing.T) {
-	play(t, func(w *world) {
-		w.traffic(11 * time.Second)
-		w.provider.set(errors.New("answer lost"), true)
-		w.traffic(2 * time.Second)
+func TestUnansweredReportIsRetried(t *testing.T) {
+	runScenario(t, func(w *simulation) {
+		w.generateTraffic(11 * time.Second)
+		w.provider.setFault(errors.New("answer lost"), true)
+		w.generateTraffic(2 * time.Second)
 		w.lease.take("p2")
-		w.provider.set(nil, false)
-		w.traffic(10 * time.Second)
-		w.check()
+		w.provider.setFault(nil, false)
+		w.generateTraffic(10 * time.Second)
+		w.checkReports()
 	})
 }
 
-func TestAnOutageOfTheProviderIsMadeUpFor(t *testing.T) {
-	play(t, func(w *world) {
-		w.traffic(11 * time.Second)
-		w.provider.set(errors.New("status 503"), false)
-		w.traffic(3 * time.Second)
-		w.provider.set(nil, false)
-		w.traffic(10 * time.Second)
-		w.check()
+func TestReportsRecoverAfterProviderOutage(t *testing.T) {
+	runScenario(t, func(w *simulation) {
+		w.generateTraffic(11 * time.Second)
+		w.provider.setFault(errors.New("status 503"), false)
+		w.generateTraffic(3 * time.Second)
+		w.provider.setFault(nil, false)
+		w.generateTraffic(10 * time.Second)
+		w.checkReports()
 	})
 }
 
-// What nodes count while the store is away counts, if they have the time to append it.
-func TestAnOutageOfTheStoreIsMadeUpFor(t *testing.T) {
+// Requests that start during an outage of the store are reported if the nodes have time to append
+// their counts.
+func TestReportsRecoverAfterStoreOutage(t *testing.T) {
 	for _, fault := range []storetest.Fault{storetest.FaultRefuse, storetest.FaultSilent, storetest.FaultLoseAnswer} {
-		play(t, func(w *world) {
-			w.traffic(12 * time.Second)
+		runScenario(t, func(w *simulation) {
+			w.generateTraffic(12 * time.Second)
 			w.log.SetFault(fault)
-			w.traffic(4500 * time.Millisecond)
+			w.generateTraffic(4500 * time.Millisecond)
 			w.log.SetFault(storetest.FaultNone)
-			w.traffic(12 * time.Second)
-			w.check()
+			w.generateTraffic(12 * time.Second)
+			w.checkReports()
 		})
 	}
 }
 
-func TestAFencedHolderReportsNoMore(t *testing.T) {
-	play(t, func(w *world) {
-		w.traffic(11 * time.Second)
+func TestFencedHolderStopsReporting(t *testing.T) {
+	runScenario(t, func(w *simulation) {
+		w.generateTraffic(11 * time.Second)
 		w.provider.mutex.Lock()
 		w.provider.epoch = 99
 		w.provider.mutex.Unlock()
-		w.traffic(20 * time.Second)
+		w.generateTraffic(20 * time.Second)
 		if w.provider.calls > 3 {
 			t.Errorf("%d reports", w.provider.calls)
 		}
 	})
 }
 
-// A node that is turned away by the store has another one append for it.
-func TestANodeWithoutTheStoreIsAppendedFor(t *testing.T) {
+// A node whose append the store refuses asks another node to append the record.
+func TestRefusedAppendIsForwarded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		near, far := storetest.NewMemory(), storetest.NewMemory()
 		far.SetFault(storetest.FaultRefuse)
 		sender := NewSender(SenderOptions{
-			Log: far, Process: "p", Length: testLength, Lost: func(int) {}, Logger: zap.NewNop(),
+			Log: far, Process: "p", WindowLength: testWindowLength, OnLost: func(int) {}, Logger: zap.NewNop(),
 			Forward: func(ctx context.Context, record []byte) error {
 				_, err := near.Append(ctx, Partition, [][]byte{record})
 				return err
@@ -259,7 +260,7 @@
 		sender.Count("a", time.Now())
 		time.Sleep(time.Second)
 		if near.Appends() != 1 {
-			t.Errorf("%d batches stand in the store", near.Appends())
+			t.Errorf("the store has %d batches", near.Appends())
 		}
 		cancel()
 		synctest.Wait()
--- a/internal/usage/sender.go
+++ b/internal/usage/sender.go
@@ -13,77 +13,79 @@
 )
 
 const (
-	// sendInterval is the shortest time between two batches of a node. What is counted after
-	// a rest is appended at once, so that a node that is killed takes little with it; a fleet
-	// of hundreds of busy nodes makes as many appends a second as it has nodes.
+	// sendInterval is the minimum time between two batches of a node. A count after an idle
+	// period is appended at once, so that a killed node loses little. A fleet of hundreds of
+	// busy nodes makes one append per node and second.
 	sendInterval = time.Second
 	// appendTimeout bounds one append.
 	appendTimeout = 700 * time.Millisecond
-	// firstRetry is the time after a failed append; it doubles up to longestRetry.
-	firstRetry   = 100 * time.Millisecond
-	longestRetry = 800 * time.Millisecond
-	// keepCounts is how long after the end of their window counts are still appended.
-	keepCounts = time.Minute
+	// initialRetryDelay is the delay after the first failed append; it doubles with each further
+	// failure, up to maxRetryDelay.
+	initialRetryDelay = 100 * time.Millisecond
+	maxRetryDelay     = 800 * time.Millisecond
+	// countRetention is how long after the end of their window counts are still appended.
+	countRetention = time.Minute
 )
 
 // SenderOptions configure a Sender.
 type SenderOptions struct {
 	Log store.Log
-	// Process names this process unlike any other.
+	// Process uniquely identifies this process.
 	Process string
-	// Length is that of a window.
-	Length time.Duration
-	// Forward has another node append a record that this one could not; it may be nil.
+	// WindowLength is the duration of a window.
+	WindowLength time.Duration
+	// Forward asks another node to append a record that this one could not; it may be nil.
 	Forward func(ctx context.Context, record []byte) error
-	// Lost is told of requests that no window will hold.
-	Lost   func(requests int)
+	// OnLost is called with the number of requests that no window will include.
+	OnLost func(requests int)
 	Logger *zap.Logger
 }
 
-// Sender appends what a node counts to the store. Count may be called by several goroutines.
+// Sender counts the requests of a node and appends the counts to the store. Count may be called
+// by several goroutines.
 type Sender struct {
 	options SenderOptions
 	clock   Clock
 
-	// flushing holds a token while a batch is appended, so that only one is under way. It is
-	// no mutex, since a flush waits no longer for another than its context lasts.
-	flushing chan struct{}
+	// flushSlot is a semaphore that allows one flush at a time. It is not a mutex, so that a flush
+	// stops waiting for another when its context ends.
+	flushSlot chan struct{}
 
 	mutex   sync.Mutex
 	counter *Counter
-	// counted wakes the goroutine that appends.
-	counted chan struct{}
+	// wake wakes the goroutine that appends.
+	wake chan struct{}
 }
 
-// NewSender returns a sender that has counted nothing.
+// NewSender returns a sender without counts.
 func NewSender(options SenderOptions) *Sender {
 	return &Sender{
-		options: options, clock: NewClock(), counted: make(chan struct{}, 1), flushing: make(chan struct{}, 1),
-		counter: NewCounter(options.Process, options.Length, keepCounts),
+		options: options, clock: NewClock(), wake: make(chan struct{}, 1), flushSlot: make(chan struct{}, 1),
+		counter: NewCounter(options.Process, options.WindowLength, countRetention),
 	}
 }
 
-// Count notes that a request of a tenant began at a time, read from the machine's clock.
+// Count counts one request of a tenant that started at the given reading of the machine's clock.
 func (s *Sender) Count(tenantName string, at time.Time) {
 	s.mutex.Lock()
 	s.counter.Add(tenantName, s.clock.At(at))
 	s.mutex.Unlock()
 	select {
-	case s.counted <- struct{}{}:
+	case s.wake <- struct{}{}:
 	default:
 	}
 }
 
-// Run appends until the context ends.
+// Run appends counts until the context ends.
 func (s *Sender) Run(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-s.counted:
+		case <-s.wake:
 		}
-		for retry := firstRetry; !s.Flush(ctx); retry = min(2*retry, longestRetry) {
-			if !pause.For(ctx, retry) {
+		for retryDelay := initialRetryDelay; !s.Flush(ctx); retryDelay = min(2*retryDelay, maxRetryDelay) {
+			if !pause.For(ctx, retryDelay) {
 				return
 			}
 		}
@@ -93,21 +95,21 @@
 	}
 }
 
-// Flush appends what was counted so far. It says whether nothing is left.
+// Flush appends the counts so far. It reports whether all of them were appended or discarded.
 func (s *Sender) Flush(ctx context.Context) bool {
 	select {
-	case s.flushing <- struct{}{}:
-		defer func() { <-s.flushing }()
+	case s.flushSlot <- struct{}{}:
+		defer func() { <-s.flushSlot }()
 	case <-ctx.Done():
-		s.options.Logger.Warn("usage not appended in time, another append is under way", zap.Error(ctx.Err()))
+		s.options.Logger.Warn("usage not appended in time: another append is in progress", zap.Error(ctx.Err()))
 		return false
 	}
 	for {
-		batch := s.next()
+		batch := s.nextBatch()
 		if batch == nil {
 			return true
 		}
-		if err := s.deliver(ctx, batch); err != nil {
+		if err := s.appendBatch(ctx, batch); err != nil {
 			s.options.Logger.Warn("usage not appended", zap.Int64("sequence", batch.Sequence), zap.Error(err))
 			return false
 		}
@@ -117,34 +119,34 @@
 	}
 }
 
-func (s *Sender) next() *Batch {
+func (s *Sender) nextBatch() *Batch {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	batch, dropped := s.counter.Next(s.clock.Now())
+	batch, dropped := s.counter.NextBatch(s.clock.Now())
 	if dropped > 0 {
 		s.options.Logger.Error("usage lost", zap.Int("requests", dropped))
-		s.options.Lost(dropped)
+		s.options.OnLost(dropped)
 	}
 	return batch
 }
 
-// deliver appends a batch, or has another node do so. A batch that is appended by both counts
-// once.
-func (s *Sender) deliver(ctx context.Context, batch *Batch) error {
+// appendBatch appends a batch, or asks another node to do so if that fails. A batch that both
+// append counts once.
+func (s *Sender) appendBatch(ctx context.Context, batch *Batch) error {
 	encoded, err := EncodeBatch(batch)
 	if err != nil {
 		return err
 	}
-	call, cancel := context.WithTimeout(ctx, appendTimeout)
-	_, err = s.options.Log.Append(call, Partition, [][]byte{encoded})
+	callCtx, cancel := context.WithTimeout(ctx, appendTimeout)
+	_, err = s.options.Log.Append(callCtx, Partition, [][]byte{encoded})
 	cancel()
 	if err == nil || s.options.Forward == nil {
 		return err
 	}
-	call, cancel = context.WithTimeout(ctx, appendTimeout)
+	callCtx, cancel = context.WithTimeout(ctx, appendTimeout)
 	defer cancel()
-	if forwarded := s.options.Forward(call, encoded); forwarded != nil {
-		return errors.Join(err, forwarded)
+	if forwardErr := s.options.Forward(callCtx, encoded); forwardErr != nil {
+		return errors.Join(err, forwardErr)
 	}
 	return nil
 }
--- a/internal/usage/sender_test.go
+++ b/internal/usage/sender_test.go
@@ -10,44 +10,45 @@
 	"dalehook/internal/store"
 )
 
-// silentLog is a store that takes appends and answers none.
-type silentLog struct {
+// unansweredLog is a log that answers no append.
+type unansweredLog struct {
 	store.Log
-	asked chan struct{}
+	appended chan struct{}
 }
 
-func (l *silentLog) Append(ctx context.Context, _ store.Partition, _ [][]byte) (int64, error) {
-	l.asked <- struct{}{}
+func (l *unansweredLog) Append(ctx context.Context, _ store.Partition, _ [][]byte) (int64, error) {
+	l.appended <- struct{}{}
 	<-ctx.Done()
 	return 0, ctx.Err()
 }
 
-// A node that leaves appends once more what it has counted, within a bound. Where the store
-// answered nothing, that append waited for the one under way, which is bounded by itself only:
-// with another node asked in the store's place, up to 1.4 s, more than a leaving node keeps for
-// its end. What proves it: the last flush is over while the other append is still under way.
-func TestALastFlushDoesNotOutlastItsTimeForAnother(t *testing.T) {
-	log := &silentLog{asked: make(chan struct{}, 10)}
-	sender := NewSender(SenderOptions{Log: log, Process: "p", Length: testLength, Lost: func(int) {}, Logger: zap.NewNop()})
+// Guards against a final flush that outlasts its context. A leaving node flushes its counts once
+// more within a time limit. When the store did not answer, that flush waited for the one in
+// progress, which is bounded only by its own timeouts: with the forward to another node up to
+// 1.4 s, more than a leaving node reserves for its shutdown. The final flush must therefore return
+// while the other one is still in progress.
+func TestFinalFlushTimesOutBehindRunningFlush(t *testing.T) {
+	log := &unansweredLog{appended: make(chan struct{}, 10)}
+	sender := NewSender(SenderOptions{Log: log, Process: "p", WindowLength: testWindowLength, OnLost: func(int) {}, Logger: zap.NewNop()})
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	sender.Count("a", time.Now())
-	underWay := make(chan struct{})
+	firstDone := make(chan struct{})
 	go func() {
-		defer close(underWay)
+		defer close(firstDone)
 		sender.Flush(ctx)
 	}()
-	<-log.asked
-	last, cancelLast := context.WithTimeout(ctx, appendTimeout/10)
-	defer cancelLast()
-	if sender.Flush(last) {
-		t.Error("a flush without the store has left nothing")
+	<-log.appended
+	finalCtx, cancelFinal := context.WithTimeout(ctx, appendTimeout/10)
+	defer cancelFinal()
+	if sender.Flush(finalCtx) {
+		t.Error("a flush succeeded although the store did not answer")
 	}
 	select {
-	case <-underWay:
-		t.Error("the last flush has waited for the one under way")
+	case <-firstDone:
+		t.Error("the final flush waited for the one in progress")
 	default:
 	}
 	cancel()
-	<-underWay
+	<-firstDone
 }
--- a/internal/usage/wire_test.go
+++ b/internal/usage/wire_test.go
@@ -8,7 +8,7 @@
 
 func TestWire(t *testing.T) {
 	wiretest.Check(t, []wiretest.Message{
-		{Name: "append-question", Codec: wiretest.Gob, Value: AppendQuestion{}},
+		{Name: "append-question", Codec: wiretest.Gob, Value: AppendRequest{}},
 		{Name: "record", Codec: wiretest.JSON, Value: record{}},
 	})
 }
