--- a/internal/usage/reporter.go
+++ b/internal/usage/reporter.go
@@ -100,7 +100,7 @@
 
 func (r *Reporter) step(ctx context.Context) error {
 	term := r.options.Term()
-	if !term.Acting {
+	if !term.Active {
 		return nil
 	}
 	if r.ledger == nil || r.epoch != term.Epoch {
@@ -244,7 +244,7 @@
 	counts, _ := r.ledger.Counts(window)
 	callCtx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
-	if term := r.options.Term(); !term.Covers(r.epoch) {
+	if term := r.options.Term(); !term.Permits(r.epoch) {
 		return nil
 	}
 	err := r.options.Provider.ReportUsage(callCtx, Report{Window: window, Counts: counts, Epoch: r.epoch})
