--- a/internal/frontend/scaling.go
+++ b/internal/frontend/scaling.go
@@ -15,7 +15,7 @@
 	return scaling.NewDriver(scaling.DriverOptions{
 		Provider: n.options.Adapter.Provider(),
 		Term:     n.term,
-		View:     n.scalingView, Headroom: settings.Scaling.Headroom, Most: settings.Scaling.MostServers,
+		View:     n.scalingView, Headroom: settings.Scaling.Headroom, MaxServers: settings.Scaling.MostServers,
 		Observe: func(outcome string) { n.metrics.serverOrders.WithLabelValues(outcome).Inc() },
 		Logger:  logger.Named("scaling"),
 	})
@@ -23,7 +23,7 @@
 
 // scalingView returns the state of the services whose number of servers is scaled.
 func (n *Node) scalingView() scaling.View {
-	view := scaling.View{Listed: make(map[string]map[string]int), Open: n.coordinator.Demand()}
+	view := scaling.View{ListedServers: make(map[string]map[string]int), OpenItems: n.coordinator.Demand()}
 	table := n.table.Load()
 	if table == nil {
 		return view
@@ -43,7 +43,7 @@
 				listed[server.Zone]++
 			}
 		}
-		view.Listed[name] = listed
+		view.ListedServers[name] = listed
 	}
 	return view
 }
--- a/internal/scaling/driver.go
+++ b/internal/scaling/driver.go
@@ -12,22 +12,22 @@
 	"dalehook/internal/pause"
 )
 
-// Provider takes orders. One that got no answer may be carried out seconds later.
+// Provider accepts orders. An order without an answer may be carried out seconds later.
 type Provider interface {
 	OrderServers(ctx context.Context, order Order) error
 }
 
-// View is what is known of the services at a time.
+// View is a snapshot of the scalable services, their servers and their demand.
 type View struct {
 	Services []Service
-	// Listed holds the number of servers by service and zone, without those that leave.
-	Listed map[string]map[string]int
-	// Open holds the number of open items by service.
-	Open map[string]int
+	// ListedServers holds the number of servers by service and zone, without draining ones.
+	ListedServers map[string]map[string]int
+	// OpenItems holds the number of open items by service.
+	OpenItems map[string]int
 }
 
 const (
-	// tickInterval is the time between two decisions.
+	// tickInterval is the time between two ticks of the Autoscaler.
 	tickInterval = 200 * time.Millisecond
 	// orderTimeout bounds one order.
 	orderTimeout = 1500 * time.Millisecond
@@ -36,28 +36,28 @@
 // DriverOptions configure a Driver.
 type DriverOptions struct {
 	Provider Provider
-	// Term returns this process's hold of the lease, View what it knows.
+	// Term returns this process's term as holder of the lease, and View its current view.
 	Term func() duty.Term
 	View func() View
-	// Headroom and Most are those of Options.
-	Headroom float64
-	Most     int
-	// Observe is told of each order and what came of it.
+	// Headroom and MaxServers are passed on to the Autoscaler; see Options.
+	Headroom   float64
+	MaxServers int
+	// Observe is called with the outcome of each order.
 	Observe func(outcome string)
 	Logger  *zap.Logger
 }
 
-// Driver gives the orders of a Machine while this process holds the lease.
+// Driver runs an Autoscaler and places its orders while this process holds the lease.
 type Driver struct {
-	options DriverOptions
-	machine *Machine
-	epoch   int64
+	options    DriverOptions
+	autoscaler *Autoscaler
+	epoch      int64
 }
 
-// NewDriver returns a driver without the lease.
+// NewDriver returns a driver that has not begun a term.
 func NewDriver(options DriverOptions) *Driver { return &Driver{options: options} }
 
-// Run works until the context ends.
+// Run drives the Autoscaler until the context ends.
 func (d *Driver) Run(ctx context.Context) {
 	for pause.For(ctx, tickInterval) {
 		d.step(ctx)
@@ -69,29 +69,29 @@
 	if !term.Active {
 		return
 	}
-	if d.machine == nil || d.epoch != term.Epoch {
+	if d.autoscaler == nil || d.epoch != term.Epoch {
 		d.epoch = term.Epoch
-		d.machine = NewMachine(Options{Headroom: d.options.Headroom, Most: d.options.Most, Epoch: term.Epoch})
+		d.autoscaler = NewAutoscaler(Options{Headroom: d.options.Headroom, MaxServers: d.options.MaxServers, Epoch: term.Epoch})
 	}
 	now := clock.Now()
 	view := d.options.View()
-	d.machine.HandleServices(view.Services)
-	for _, known := range view.Services {
-		d.machine.HandleServers(now, known.Name, view.Listed[known.Name])
-		d.machine.HandleDemand(now, known.Name, view.Open[known.Name])
+	d.autoscaler.HandleServices(view.Services)
+	for _, service := range view.Services {
+		d.autoscaler.HandleServers(now, service.Name, view.ListedServers[service.Name])
+		d.autoscaler.HandleDemand(now, service.Name, view.OpenItems[service.Name])
 	}
-	for _, order := range d.machine.Tick(now) {
-		d.order(ctx, order, view)
+	for _, order := range d.autoscaler.Tick(now) {
+		d.placeOrder(ctx, order, view)
 	}
 }
 
-func (d *Driver) order(ctx context.Context, order Order, view View) {
+func (d *Driver) placeOrder(ctx context.Context, order Order, view View) {
 	if term := d.options.Term(); !term.Permits(order.Epoch) {
 		return
 	}
-	call, cancel := context.WithTimeout(ctx, orderTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
-	err := d.options.Provider.OrderServers(call, order)
+	err := d.options.Provider.OrderServers(callCtx, order)
 	outcome := OutcomeTaken
 	switch {
 	case errors.Is(err, duty.ErrFenced):
@@ -99,10 +99,10 @@
 	case err != nil:
 		outcome = OutcomeUnknown
 	}
-	d.machine.HandleOutcome(clock.Now(), order, outcome)
+	d.autoscaler.HandleOutcome(clock.Now(), order, outcome)
 	d.options.Observe(outcome.String())
 	d.options.Logger.Info("servers ordered", zap.String("service", order.Service), zap.String("zone", order.Zone),
-		zap.Int("count", order.Count), zap.Int("listed", view.Listed[order.Service][order.Zone]),
-		zap.Int("open_items", view.Open[order.Service]), zap.Int64("epoch", order.Epoch),
+		zap.Int("count", order.Count), zap.Int("listed", view.ListedServers[order.Service][order.Zone]),
+		zap.Int("open_items", view.OpenItems[order.Service]), zap.Int64("epoch", order.Epoch),
 		zap.Stringer("outcome", outcome), zap.Error(err))
 }
--- a/internal/scaling/scaling.go
+++ b/internal/scaling/scaling.go
@@ -1,5 +1,5 @@
-// Package scaling decides how many servers each zone has of the services whose number may be
-// chosen. Machine is a state machine without I/O; Driver runs it on the holder of the lease.
+// Package scaling decides how many servers each scalable service has in each zone. Autoscaler is a
+// state machine without I/O; Driver runs it on the holder of the lease.
 package scaling
 
 import (
@@ -10,266 +10,271 @@
 	"time"
 )
 
-// Service is a service whose number of servers may be chosen.
+// Service is a scalable service, one whose number of servers the autoscaler chooses.
 type Service struct {
 	Name string
-	// Slots is the number of requests that a server runs at once.
+	// Slots is the number of requests that a server runs concurrently.
 	Slots int
-	// Minimum and Maximum bound the servers of each zone.
+	// Minimum and Maximum bound the number of servers in each zone.
 	Minimum, Maximum int
-	// BootTime is from an order until a new server serves.
+	// BootTime is the time from an order until a new server is ready.
 	BootTime time.Duration
-	// ZonePrices holds what a second of a server costs in each zone, relative to others.
+	// ZonePrices holds the relative price of a server second in each zone.
 	ZonePrices map[string]float64
 }
 
-// Order asks for a number of servers in a zone, the ones that are there included.
+// Order requests a total number of servers in a zone, existing ones included.
 type Order struct {
 	Service, Zone string
 	Count         int
-	// Epoch is the lease's, which fences the order.
+	// Epoch is the epoch of the lease, the fencing token of the order.
 	Epoch int64
 }
 
-// Outcome is what came of an order.
+// Outcome is the outcome of an order.
 type Outcome int
 
-// The outcomes.
+// The outcomes of orders.
 const (
-	// OutcomeTaken: the order is carried out.
+	// OutcomeTaken means that the provider accepted the order.
 	OutcomeTaken Outcome = iota
-	// OutcomeUnknown: the order may be carried out, also later.
+	// OutcomeUnknown means that the order may be carried out, possibly later.
 	OutcomeUnknown
-	// OutcomeFenced: a later holder of the lease has ordered.
+	// OutcomeFenced means that the order was refused because a later holder of the lease has
+	// placed one.
 	OutcomeFenced
 )
 
 // String implements fmt.Stringer.
 func (o Outcome) String() string { return [...]string{"taken", "unknown", "fenced"}[o] }
 
-// Options configure a Machine.
+// Options configure an Autoscaler.
 type Options struct {
-	// Headroom is the number of slots for each item that was open at once.
+	// Headroom is the number of slots to provide for each item of the peak demand.
 	Headroom float64
-	// Most bounds the servers of a service over all zones, beside its own bounds; 0 for none.
-	Most int
-	// Epoch is the lease's.
+	// MaxServers bounds the number of servers of a service over all zones, in addition to the
+	// bounds of the service; 0 means no such bound.
+	MaxServers int
+	// Epoch is the epoch of the lease.
 	Epoch int64
 }
 
-// DefaultHeadroom has a slot for each item.
+// DefaultHeadroom provides one slot per item.
 const DefaultHeadroom = 1.0
 
 const (
-	// lowerAfter is how long fewer servers must have sufficed for some to be given back. It is
-	// above the time between the steps of trainers, whose demand comes at once.
-	lowerAfter = time.Minute
-	// lookFor is how long a holder that has just begun counts the servers that are there: some
-	// may be missing for a moment.
-	lookFor = 3 * time.Second
-	// listedWithin is the time after a server's boot within which it stands in the list.
-	listedWithin = 4 * time.Second
-	// retryAfter is the time after an order of which nothing is known.
-	retryAfter = time.Second
+	// scaleDownDelay is how long fewer servers must have sufficed before the number is reduced.
+	// It exceeds the time between two steps of a trainer, whose demand comes in bursts.
+	scaleDownDelay = time.Minute
+	// observationPeriod is how long a new holder counts the existing servers before it decides,
+	// since some may be missing temporarily.
+	observationPeriod = 3 * time.Second
+	// listingDelay is the time after a server's boot within which the server list contains it.
+	listingDelay = 4 * time.Second
+	// retryDelay is the delay before an order with an unknown outcome is repeated.
+	retryDelay = time.Second
 )
 
-// Machine decides for the term of one holder. It is used by one goroutine.
-type Machine struct {
+// Autoscaler chooses the number of servers during the term of one holder. It is not safe for
+// concurrent use.
+type Autoscaler struct {
 	options  Options
-	services map[string]*service
+	services map[string]*serviceState
 	fenced   bool
 }
 
-// service is what is known of one service.
-type service struct {
+// serviceState is the state of one service.
+type serviceState struct {
 	Service
-	zones map[string]*zone
-	// lookUntil is until when the servers are counted that are there as the term begins.
-	lookUntil time.Time
-	// peaks holds the most items that were open at once, by second.
-	peaks map[int64]int
-	// sufficedSince is since when fewer servers would have sufficed; zero when they did not.
-	sufficedSince time.Time
+	zones map[string]*zoneState
+	// observeUntil is the end of the observation period.
+	observeUntil time.Time
+	// peakItems holds the maximum number of open items, by second.
+	peakItems map[int64]int
+	// surplusSince is the time since which fewer servers would have sufficed; zero if they would
+	// not suffice now.
+	surplusSince time.Time
 }
 
-// zone is what is known of a service in one zone.
-type zone struct {
-	// listed is the number of servers that are there, found that of those which were there as
-	// the term began.
-	listed, found int
-	// wanted is the number that was decided on; 0 before the first decision.
-	wanted int
-	// askAt is when the number is to be ordered; zero when it is not.
-	askAt time.Time
-	// asked says that it was ordered before: it is again only while the list shows another.
-	asked bool
+// zoneState is the state of a service in one zone.
+type zoneState struct {
+	// listed is the current number of servers, and baseline the maximum number seen during the
+	// observation period.
+	listed, baseline int
+	// target is the chosen number of servers; 0 before the first decision.
+	target int
+	// orderAt is when the target is to be ordered; zero if no order is due.
+	orderAt time.Time
+	// ordered is set once the target was ordered; it is then ordered again only while listed
+	// differs from it.
+	ordered bool
 }
 
-// NewMachine returns the machine of a term.
-func NewMachine(options Options) *Machine {
+// NewAutoscaler returns the autoscaler of a term.
+func NewAutoscaler(options Options) *Autoscaler {
 	options.Headroom = cmp.Or(options.Headroom, DefaultHeadroom)
-	return &Machine{options: options, services: make(map[string]*service)}
+	return &Autoscaler{options: options, services: make(map[string]*serviceState)}
 }
 
-// HandleServices takes the services whose number of servers may be chosen.
-func (m *Machine) HandleServices(services []Service) {
+// HandleServices replaces the set of scalable services.
+func (a *Autoscaler) HandleServices(services []Service) {
 	present := make(map[string]bool)
-	for _, given := range services {
-		present[given.Name] = true
-		known := m.services[given.Name]
-		if known == nil {
-			known = &service{zones: make(map[string]*zone), peaks: make(map[int64]int)}
-			m.services[given.Name] = known
+	for _, config := range services {
+		present[config.Name] = true
+		service := a.services[config.Name]
+		if service == nil {
+			service = &serviceState{zones: make(map[string]*zoneState), peakItems: make(map[int64]int)}
+			a.services[config.Name] = service
 		}
-		known.Service = given
-		for name := range given.ZonePrices {
-			if known.zones[name] == nil {
-				known.zones[name] = &zone{}
+		service.Service = config
+		for name := range config.ZonePrices {
+			if service.zones[name] == nil {
+				service.zones[name] = &zoneState{}
 			}
 		}
 	}
-	maps.DeleteFunc(m.services, func(name string, _ *service) bool { return !present[name] })
+	maps.DeleteFunc(a.services, func(name string, _ *serviceState) bool { return !present[name] })
 }
 
-// HandleServers takes the number of servers of a service by zone, without those that leave.
-func (m *Machine) HandleServers(now time.Time, name string, listed map[string]int) {
-	known := m.services[name]
-	if known == nil {
+// HandleServers updates the number of servers of a service by zone, without draining ones.
+func (a *Autoscaler) HandleServers(now time.Time, name string, listed map[string]int) {
+	service := a.services[name]
+	if service == nil {
 		return
 	}
-	if known.lookUntil.IsZero() {
-		known.lookUntil = now.Add(lookFor)
+	if service.observeUntil.IsZero() {
+		service.observeUntil = now.Add(observationPeriod)
 	}
-	for zoneName, place := range known.zones {
-		place.listed = listed[zoneName]
-		if now.Before(known.lookUntil) {
-			place.found = max(place.found, place.listed)
+	for zoneName, zone := range service.zones {
+		zone.listed = listed[zoneName]
+		if now.Before(service.observeUntil) {
+			zone.baseline = max(zone.baseline, zone.listed)
 		}
 	}
 }
 
-// HandleDemand takes the number of a service's items that are open.
-func (m *Machine) HandleDemand(now time.Time, name string, open int) {
-	known := m.services[name]
-	if known == nil {
+// HandleDemand records the current number of open items of a service.
+func (a *Autoscaler) HandleDemand(now time.Time, name string, openItems int) {
+	service := a.services[name]
+	if service == nil {
 		return
 	}
 	second := now.Unix()
-	known.peaks[second] = max(known.peaks[second], open)
-	oldest := now.Add(-lowerAfter).Unix()
-	maps.DeleteFunc(known.peaks, func(at int64, _ int) bool { return at < oldest })
+	service.peakItems[second] = max(service.peakItems[second], openItems)
+	oldest := now.Add(-scaleDownDelay).Unix()
+	maps.DeleteFunc(service.peakItems, func(at int64, _ int) bool { return at < oldest })
 }
 
-// HandleOutcome takes what came of an order.
-func (m *Machine) HandleOutcome(now time.Time, order Order, outcome Outcome) {
-	known := m.services[order.Service]
-	if known == nil || known.zones[order.Zone] == nil {
+// HandleOutcome processes the outcome of an order.
+func (a *Autoscaler) HandleOutcome(now time.Time, order Order, outcome Outcome) {
+	service := a.services[order.Service]
+	if service == nil || service.zones[order.Zone] == nil {
 		return
 	}
-	place := known.zones[order.Zone]
+	zone := service.zones[order.Zone]
 	switch {
 	case outcome == OutcomeFenced:
-		m.fenced = true
-	case order.Count != place.wanted:
-		// Another number is to be ordered.
+		a.fenced = true
+	case order.Count != zone.target:
+		// The target has changed since the order.
 	case outcome == OutcomeTaken:
-		place.askAt = time.Time{}
+		zone.orderAt = time.Time{}
 	default:
-		place.askAt = now.Add(retryAfter)
+		zone.orderAt = now.Add(retryDelay)
 	}
 }
 
-// Tick returns the orders that are due.
-func (m *Machine) Tick(now time.Time) []Order {
-	if m.fenced {
+// Tick updates the targets and returns the orders that are due.
+func (a *Autoscaler) Tick(now time.Time) []Order {
+	if a.fenced {
 		return nil
 	}
 	var orders []Order
-	for _, name := range slices.Sorted(maps.Keys(m.services)) {
-		known := m.services[name]
-		if known.Slots <= 0 || known.found() == 0 || now.Before(known.lookUntil) {
+	for _, name := range slices.Sorted(maps.Keys(a.services)) {
+		service := a.services[name]
+		if service.Slots <= 0 || service.baselineServers() == 0 || now.Before(service.observeUntil) {
 			continue
 		}
-		m.decide(now, known)
-		orders = append(orders, m.due(now, known)...)
+		a.updateTargets(now, service)
+		orders = append(orders, a.dueOrders(now, service)...)
 	}
 	return orders
 }
 
-// due returns the orders that are due for a service, and notes when they are again: an order
-// that nothing came of is made once more.
-func (m *Machine) due(now time.Time, known *service) []Order {
+// dueOrders returns the orders that are due for a service and schedules their repetition, in case
+// an order has no effect.
+func (a *Autoscaler) dueOrders(now time.Time, service *serviceState) []Order {
 	var orders []Order
-	for _, name := range slices.Sorted(maps.Keys(known.zones)) {
-		place := known.zones[name]
-		if place.wanted == 0 {
+	for _, name := range slices.Sorted(maps.Keys(service.zones)) {
+		zone := service.zones[name]
+		if zone.target == 0 {
 			continue
 		}
-		settled := place.listed == place.wanted
+		reached := zone.listed == zone.target
 		switch {
-		case place.asked && settled:
-			place.askAt = time.Time{}
-		case place.askAt.IsZero() && !settled:
-			place.askAt = now.Add(known.BootTime + listedWithin)
+		case zone.ordered && reached:
+			zone.orderAt = time.Time{}
+		case zone.orderAt.IsZero() && !reached:
+			zone.orderAt = now.Add(service.BootTime + listingDelay)
 		}
-		if place.askAt.IsZero() || now.Before(place.askAt) {
+		if zone.orderAt.IsZero() || now.Before(zone.orderAt) {
 			continue
 		}
-		place.askAt, place.asked = now.Add(known.BootTime+listedWithin), true
-		orders = append(orders, Order{Service: known.Name, Zone: name, Count: place.wanted, Epoch: m.options.Epoch})
+		zone.orderAt, zone.ordered = now.Add(service.BootTime+listingDelay), true
+		orders = append(orders, Order{Service: service.Name, Zone: name, Count: zone.target, Epoch: a.options.Epoch})
 	}
 	return orders
 }
 
-// decide sets how many servers each zone is to have.
-func (m *Machine) decide(now time.Time, known *service) {
-	target := m.target(known)
-	current := known.total()
+// updateTargets sets the target of each zone.
+func (a *Autoscaler) updateTargets(now time.Time, service *serviceState) {
+	target := a.neededServers(service)
+	current := service.targetServers()
 	switch {
 	case target > current:
-		known.sufficedSince = time.Time{}
-		known.spread(now, target)
+		service.surplusSince = time.Time{}
+		service.distribute(now, target)
 	case target == current:
-		known.sufficedSince = time.Time{}
-	case known.sufficedSince.IsZero():
-		known.sufficedSince = now
-	case now.Sub(known.sufficedSince) >= lowerAfter:
-		known.sufficedSince = time.Time{}
-		known.spread(now, target)
+		service.surplusSince = time.Time{}
+	case service.surplusSince.IsZero():
+		service.surplusSince = now
+	case now.Sub(service.surplusSince) >= scaleDownDelay:
+		service.surplusSince = time.Time{}
+		service.distribute(now, target)
 	}
 }
 
-// target returns how many servers a service needs: slots for the most items that were open at
-// once lately, and no fewer servers than there were when the term began, since what else runs
-// there is not known here.
-func (m *Machine) target(known *service) int {
-	most := 0
-	for _, peak := range known.peaks {
-		most = max(most, peak)
+// neededServers returns how many servers a service needs: enough slots for the recent peak of open
+// items, but no fewer servers than when the term began, since other load on them is not known here.
+func (a *Autoscaler) neededServers(service *serviceState) int {
+	maxPeak := 0
+	for _, peak := range service.peakItems {
+		maxPeak = max(maxPeak, peak)
 	}
-	needed := int(math.Ceil(float64(most) * m.options.Headroom / float64(known.Slots)))
-	if m.options.Most > 0 {
-		needed = min(needed, m.options.Most)
+	needed := int(math.Ceil(float64(maxPeak) * a.options.Headroom / float64(service.Slots)))
+	if a.options.MaxServers > 0 {
+		needed = min(needed, a.options.MaxServers)
 	}
-	return min(max(needed, known.found()), known.Maximum*len(known.zones))
+	return min(max(needed, service.baselineServers()), service.Maximum*len(service.zones))
 }
 
-// found returns how many servers there were as the term began.
-func (s *service) found() int {
+// baselineServers returns the number of servers when the term began.
+func (s *serviceState) baselineServers() int {
 	total := 0
-	for _, place := range s.zones {
-		total += place.found
+	for _, zone := range s.zones {
+		total += zone.baseline
 	}
 	return total
 }
 
-// total returns how many servers were decided on, or were there.
-func (s *service) total() int {
+// targetServers returns the total target of all zones; a zone without a decision counts with its
+// baseline.
+func (s *serviceState) targetServers() int {
 	total := 0
-	for _, place := range s.zones {
-		total += place.count()
+	for _, zone := range s.zones {
+		total += zone.targetOrBaseline()
 	}
 	return total
 }
 
-func (z *zone) count() int { return cmp.Or(z.wanted, z.found) }
+func (z *zoneState) targetOrBaseline() int { return cmp.Or(z.target, z.baseline) }
