--- a/internal/coordinator/handover.go
+++ b/internal/coordinator/handover.go
@@ -155,7 +155,7 @@
 	for _, pending := range handover.Pending {
 		switch {
 		case pending.Partition.Number != number:
-		case !pending.Partition.Topic.Known():
+		case !pending.Partition.Topic.IsKnown():
 			// The predecessor runs a later build. The store client has no name for the topic.
 			c.options.Logger.Warn("skipped handed-over records of an unknown topic", zap.Stringer("partition", pending.Partition))
 		case handover.Whole && pending.Partition.Topic == store.TopicProgress:
--- a/internal/coordinator/progress.go
+++ b/internal/coordinator/progress.go
@@ -39,7 +39,7 @@
 func readProgress(ctx context.Context, log store.Log, at store.Partition) (*batch.ProgressFold, error) {
 	fold := batch.NewProgressFold()
 	var applyErr error
-	_, err := store.ReadOn(ctx, log, at, 0, func(read store.Batch) bool {
+	_, err := store.Scan(ctx, log, at, 0, func(read store.Batch) bool {
 		for _, record := range read.Records {
 			if applyErr = fold.Apply(record.Value); applyErr != nil {
 				return false
--- a/internal/follow/keyed_test.go
+++ b/internal/follow/keyed_test.go
@@ -95,7 +95,7 @@
 	memory.SetFault(storetest.FaultRefuse)
 	memory.Put(store.TopicServers, "a", []byte("2"))
 	memory.Put(store.TopicServers, "b", []byte("3"))
-	memory.Forget(store.Partition{Topic: store.TopicServers}, 2)
+	memory.Compact(store.Partition{Topic: store.TopicServers}, 2)
 	memory.SetFault(storetest.FaultNone)
 	eventually(t, "second snapshot", func() bool {
 		a, _ := f.get("a")
--- a/internal/joblog/index.go
+++ b/internal/joblog/index.go
@@ -118,7 +118,7 @@
 	defer x.readMutex.Unlock()
 	ctx, cancel := context.WithTimeout(ctx, indexTimeout)
 	defer cancel()
-	ended, err := store.ReadOn(ctx, x.log, x.at, x.next, func(read store.Batch) bool {
+	ended, err := store.Scan(ctx, x.log, x.at, x.next, func(read store.Batch) bool {
 		x.add(read)
 		return true
 	})
--- a/internal/joblog/scan.go
+++ b/internal/joblog/scan.go
@@ -20,7 +20,7 @@
 	ctx, cancel := context.WithTimeout(ctx, catchUpTimeout)
 	defer cancel()
 	fold, done, next, trimmed := batch.NewJobFold(jobID), false, int64(0), false
-	ended, err := store.ReadOn(ctx, p.log, p.at, 0, func(read store.Batch) bool {
+	ended, err := store.Scan(ctx, p.log, p.at, 0, func(read store.Batch) bool {
 		trimmed = trimmed || read.Next-int64(len(read.Records)) > next
 		next = read.Next
 		for _, record := range read.Records {
--- a/internal/serverlist/fleet_test.go
+++ b/internal/serverlist/fleet_test.go
@@ -25,8 +25,8 @@
 
 // The capacity of the platform's store for all nodes together.
 var fleetLimits = storetest.Limits{
-	BytesPerSecond: 80_000_000, ReadsPerSecond: 16_000, WritesPerSecond: 4000, Answer: 4 * time.Millisecond,
-	RecordBytes: 256 << 10, CallBytes: 2 << 20,
+	BytesPerSecond: 80_000_000, ReadsPerSecond: 16_000, WritesPerSecond: 4000, Latency: 4 * time.Millisecond,
+	MaxRecordBytes: 256 << 10, MaxCallBytes: 2 << 20,
 }
 
 const (
@@ -325,14 +325,14 @@
 			runFleet(t, func(t *testing.T, f *simulatedFleet) {
 				f.awaitStart()
 				time.Sleep(3 * time.Second)
-				f.shared.Strike(c.fault, c.affected)
+				f.shared.SetNodeFault(c.fault, c.affected)
 				time.Sleep(c.duration / 2)
 				if c.affected(0) && !c.affected(1) {
 					f.setLeader(1)
 				}
 				f.setState(0, "draining")
 				time.Sleep(c.duration - c.duration/2)
-				f.shared.Strike(storetest.FaultNone, nil)
+				f.shared.SetNodeFault(storetest.FaultNone, nil)
 				f.awaitAll("after the outage", recoveryBound)
 			})
 		})
--- a/internal/serverlist/small_test.go
+++ b/internal/serverlist/small_test.go
@@ -15,7 +15,7 @@
 func runSmallFleet(t *testing.T, pageRecords int, prepare func(t *testing.T, log store.Log)) {
 	synctest.Test(t, func(t *testing.T) {
 		limits := fleetLimits
-		limits.PageRecords = pageRecords
+		limits.MaxPageRecords = pageRecords
 		ctx, cancel := context.WithCancel(context.Background())
 		f := &simulatedFleet{t: t, size: fleetSize{nodes: 3, servers: 30}, shared: storetest.NewShared(limits), ctx: ctx, states: make([]string, 30)}
 		f.leader.Store(0)
--- a/internal/store/numbers_test.go
+++ b/internal/store/numbers_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// Nodes of other builds send topics by number.
+// Nodes of different builds send each other topics by number.
 func TestTopicsKeepTheirNumbers(t *testing.T) {
 	numbers := map[Topic]int{
 		TopicOperator: 0, TopicServers: 1, TopicJobs: 2, TopicJobIndex: 3, TopicProgress: 4, TopicLeases: 5, TopicServerRelay: 6,
@@ -15,8 +15,8 @@
 	}
 }
 
-// A topic of a later build has no name here.
-func TestATopicThatIsNotKnown(t *testing.T) {
+// A node of a later build may send a topic that this build has no name for.
+func TestUnknownTopicIsNamedByNumber(t *testing.T) {
 	if got := Topic(99).String(); got != "topic 99" {
 		t.Errorf("%q", got)
 	}
--- a/internal/store/read.go
+++ b/internal/store/read.go
@@ -6,27 +6,27 @@
 	"time"
 )
 
-// PageReader is a Log that can be asked for fewer bytes than it hands out by itself.
+// PageReader is a Log that can limit the size of a read.
 type PageReader interface {
-	// ReadPage is Read of records of at most so many bytes, or of one.
-	ReadPage(ctx context.Context, partition Partition, from int64, wait time.Duration, mostBytes int) (Batch, error)
+	// ReadPage is Read limited to maxBytes; it returns at least one record even if that is larger.
+	ReadPage(ctx context.Context, partition Partition, from int64, wait time.Duration, maxBytes int) (Batch, error)
 }
 
-// ReadPage reads a page of at most so many bytes, or what the log hands out by itself if it can
-// not be asked for less.
-func ReadPage(ctx context.Context, log Log, partition Partition, from int64, wait time.Duration, mostBytes int) (Batch, error) {
-	if pages, ok := log.(PageReader); ok {
-		return pages.ReadPage(ctx, partition, from, wait, mostBytes)
+// ReadPage reads a page of at most maxBytes, or with the default size of the log if it is not a
+// PageReader.
+func ReadPage(ctx context.Context, log Log, partition Partition, from int64, wait time.Duration, maxBytes int) (Batch, error) {
+	if pageReader, ok := log.(PageReader); ok {
+		return pageReader.ReadPage(ctx, partition, from, wait, maxBytes)
 	}
 	return log.Read(ctx, partition, from, wait)
 }
 
-// ReadOn reads a partition from an offset, or from the first one that is kept, to its end, or
-// until visit returns false. A store that has nothing though it tells a later end is not asked
-// again. It tells whether the end was reached.
-func ReadOn(ctx context.Context, log Log, at Partition, from int64, visit func(Batch) (more bool)) (ended bool, err error) {
+// Scan reads a partition from an offset, or from the first offset after it that was not trimmed,
+// until its end or until visit returns false. It also stops at an empty read, even if the store
+// reports a later end. It reports whether the end was reached.
+func Scan(ctx context.Context, log Log, partition Partition, from int64, visit func(Batch) (more bool)) (reachedEnd bool, err error) {
 	for {
-		read, err := log.Read(ctx, at, from, 0)
+		batch, err := log.Read(ctx, partition, from, 0)
 		var trimmed *TrimmedError
 		if errors.As(err, &trimmed) && trimmed.First > from {
 			from = trimmed.First
@@ -35,34 +35,34 @@
 		if err != nil {
 			return false, err
 		}
-		from = read.Next
-		ended = from >= read.End
-		if !visit(read) || ended || len(read.Records) == 0 {
-			return ended, nil
+		from = batch.Next
+		reachedEnd = from >= batch.End
+		if !visit(batch) || reachedEnd || len(batch.Records) == 0 {
+			return reachedEnd, nil
 		}
 	}
 }
 
-// NewestPage is a part of the newest records of a keyed topic, in the order of their keys.
+// NewestPage is a page of the newest records of a keyed topic, ordered by key.
 type NewestPage struct {
 	Records []Record
-	// End is the partition's end when the page was made. Pages do not form a snapshot: what changed
-	// since the first one is read from its end.
+	// End is the partition's end when the page was read. Pages do not form a snapshot: changes since
+	// the first page are read from the first page's End on.
 	End int64
-	// More says that records of other keys follow.
+	// More is set if further keys follow.
 	More bool
 }
 
-// NewestPager is a Log that hands out the newest records of a keyed topic page by page.
+// NewestPager is a Log that returns the newest records of a keyed topic page by page.
 type NewestPager interface {
-	// NewestPage returns the records of the keys after one, or the first ones for an empty key.
+	// NewestPage returns the page of the keys after the given one, or the first page for "".
 	NewestPage(ctx context.Context, topic Topic, after string) (NewestPage, error)
 }
 
-// ReadNewestPage reads a page, or all records at once from a log that has no pages.
+// ReadNewestPage reads a page, or all records at once if the log is not a NewestPager.
 func ReadNewestPage(ctx context.Context, log Log, topic Topic, after string) (NewestPage, error) {
-	if pages, ok := log.(NewestPager); ok {
-		return pages.NewestPage(ctx, topic, after)
+	if pager, ok := log.(NewestPager); ok {
+		return pager.NewestPage(ctx, topic, after)
 	}
 	records, end, err := log.Newest(ctx, topic)
 	return NewestPage{Records: records, End: end}, err
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -1,5 +1,5 @@
-// Package store is the port to the replicated log that outlasts every node. The
-// product states here what it needs of a log; an adapter implements it.
+// Package store defines the interface to the replicated log that outlives every node. An adapter
+// implements it for a particular platform.
 package store
 
 import (
@@ -12,55 +12,56 @@
 // Topic names a group of partitions.
 type Topic int
 
-// The topics of the product. Nodes send each other their numbers, and nodes of other builds read what they
-// hold: a new topic comes last, none is removed, and records of another meaning take a new one.
+// The topics. Nodes send each other the numbers, and nodes of other builds read the records: a new
+// topic is added at the end, no topic is removed, and records with a different meaning go to a new
+// topic.
 const (
 	// TopicOperator holds the newest configuration and the newest weight version
-	// of each model, by key. The operator and the trainers write it.
+	// of each model, by key. It is written by the operator and the trainers.
 	TopicOperator Topic = iota
-	// TopicServers holds the entry of each back end, by key. The back ends write it.
+	// TopicServers holds the entry of each back end, by key. It is written by the back ends.
 	TopicServers
-	// TopicJobs holds batch jobs, their results and their ends.
+	// TopicJobs holds batch jobs, their results and their end records.
 	TopicJobs
-	// TopicJobIndex holds where each batch job begins in its partition of TopicJobs, in
-	// the partition of the same number.
+	// TopicJobIndex holds the offset at which each batch job begins in TopicJobs. A partition of
+	// the index covers the partition of TopicJobs with the same number.
 	TopicJobIndex
-	// TopicProgress holds what the runs of open batch jobs have made so far. Only
-	// the newest seconds of it are kept.
+	// TopicProgress holds the partial output of running items of open batch jobs. Only the last
+	// few seconds of it are kept.
 	TopicProgress
 	// TopicLeases holds the claims and renewals of leases.
 	TopicLeases
 	// TopicServerRelay held the list of servers in formats of earlier builds, whose nodes may still
-	// write there; nothing else is ever to be written to it.
+	// write to it. It must not be used for anything else.
 	TopicServerRelay
-	// TopicUsage holds what nodes count of the requests that ran, and the ends of windows.
+	// TopicUsage holds the request counts of the nodes and the records that close usage windows.
 	TopicUsage
-	// TopicQuarantine holds which servers ended under which requests, by key.
+	// TopicQuarantine holds which servers ended while they ran which requests, by key.
 	TopicQuarantine
-	// TopicServerList holds what the coordinator of a large fleet tells the other nodes of the list
-	// of servers. Only the newest seconds of it are kept.
+	// TopicServerList holds the list of servers as the coordinator of a large fleet publishes it to
+	// the other nodes. Only the last few seconds of it are kept.
 	TopicServerList
 )
 
-// Keyed says whether the newest record of each key of a topic is kept for good.
-func (t Topic) Keyed() bool {
+// IsKeyed reports whether the newest record of each key of the topic is kept indefinitely.
+func (t Topic) IsKeyed() bool {
 	return t == TopicOperator || t == TopicServers || t == TopicQuarantine
 }
 
 var topicNames = [...]string{"operator", "servers", "jobs", "job index", "progress", "leases", "server relay", "usage", "quarantine", "server list"}
 
-// Known says whether this build has a topic: nodes of later builds may name others.
-func (t Topic) Known() bool { return t >= 0 && int(t) < len(topicNames) }
+// IsKnown reports whether this build has the topic. Nodes of later builds may send others.
+func (t Topic) IsKnown() bool { return t >= 0 && int(t) < len(topicNames) }
 
 // String implements fmt.Stringer.
 func (t Topic) String() string {
-	if !t.Known() {
+	if !t.IsKnown() {
 		return fmt.Sprintf("topic %d", int(t))
 	}
 	return topicNames[t]
 }
 
-// Partition is one log of a topic.
+// Partition identifies one log of a topic.
 type Partition struct {
 	Topic  Topic
 	Number int
@@ -72,65 +73,66 @@
 // Record is one entry of a partition.
 type Record struct {
 	Offset int64
-	// Key is empty in topics without keys.
+	// Key is empty in topics that are not keyed.
 	Key string
-	// Value is empty when a keyed entry was removed.
+	// Value is empty if the record removes its key.
 	Value []byte
 }
 
-// Batch is the answer to a read.
+// Batch is the result of a read.
 type Batch struct {
 	Records []Record
 	// End is the offset that the next record of the partition gets.
 	End int64
-	// Next is the offset from which the following read continues.
+	// Next is the offset at which the next read continues.
 	Next int64
 }
 
-// Log is a partitioned log. A call that returns an error other than the ones
-// below may have been carried out, now or seconds later.
+// Log is a partitioned log. A call that returns an error other than the ones below may have been
+// carried out, or may still be carried out seconds later.
 type Log interface {
-	// Append adds the payloads, all or none, and returns the offset of the first.
+	// Append appends the payloads atomically and returns the offset of the first one.
 	Append(ctx context.Context, partition Partition, payloads [][]byte) (int64, error)
-	// AppendAt is Append on the condition that the partition ends at end. It
-	// returns a *ConditionError when it does not.
+	// AppendAt is Append on the condition that the partition ends at end. Otherwise it returns a
+	// *ConditionError.
 	AppendAt(ctx context.Context, partition Partition, end int64, payloads [][]byte) (int64, error)
-	// PutKeyed adds records to a keyed topic, all or none. A record without a value removes
-	// its key.
+	// PutKeyed appends records to a keyed topic atomically. A record without a value removes its
+	// key.
 	PutKeyed(ctx context.Context, topic Topic, records []Record) error
-	// Read returns the records from an offset on. It waits up to wait for the
-	// first. It returns a *TrimmedError when the offset is no longer kept.
+	// Read returns records from an offset on. It waits up to wait for the first one. It returns a
+	// *TrimmedError if the record at the offset was trimmed.
 	Read(ctx context.Context, partition Partition, from int64, wait time.Duration) (Batch, error)
-	// Newest returns the newest record of each key of a keyed topic, and the
-	// partition's end from which a Read continues.
+	// Newest returns the newest record of each key of a keyed topic, and the partition's end, from
+	// which Read continues.
 	Newest(ctx context.Context, topic Topic) ([]Record, int64, error)
-	// Trim drops the records before an offset.
+	// Trim removes the records before an offset.
 	Trim(ctx context.Context, partition Partition, before int64) error
 }
 
-// ErrRefused says that the store did not carry out a call and never will.
+// ErrRefused means that the store did not carry out a call and never will.
 var ErrRefused = errors.New("store refused the call")
 
-// ErrInvalid says that the store refused a call for what it holds, and would do so again.
-var ErrInvalid = fmt.Errorf("%w: call is not valid", ErrRefused)
+// ErrInvalid means that the store refused a call because of its content; a retry would be refused
+// as well.
+var ErrInvalid = fmt.Errorf("%w: invalid call", ErrRefused)
 
-// ErrThrottled says that the store refused a call since there are too many of them.
+// ErrThrottled means that the store refused a call because of a rate limit.
 var ErrThrottled = fmt.Errorf("%w: too many calls", ErrRefused)
 
-// ConditionError says that a conditional append was not carried out.
+// ConditionError means that a conditional append was not carried out.
 type ConditionError struct {
-	// End is the partition's end.
+	// End is the actual end of the partition.
 	End int64
 }
 
 // Error implements error.
 func (e *ConditionError) Error() string { return fmt.Sprintf("partition ends at %d", e.End) }
 
-// TrimmedError says that records are no longer kept.
+// TrimmedError means that the records at an offset were trimmed.
 type TrimmedError struct {
-	// First is the first offset that is kept.
+	// First is the first offset that the partition still has.
 	First int64
 }
 
 // Error implements error.
-func (e *TrimmedError) Error() string { return fmt.Sprintf("records before %d are gone", e.First) }
+func (e *TrimmedError) Error() string { return fmt.Sprintf("records before %d were trimmed", e.First) }
--- a/internal/store/storetest/link.go
+++ b/internal/store/storetest/link.go
@@ -9,25 +9,25 @@
 )
 
 const (
-	// linkWay is how long an answer is under way beside its size.
-	linkWay = 5 * time.Millisecond
-	// readBytes is what the store hands out by one read, but for a larger first record.
-	readBytes = 1 << 20
+	// linkLatency is the latency of an answer, in addition to its transmission time.
+	linkLatency = 5 * time.Millisecond
+	// maxReadBytes is the size limit of one read; a larger first record is returned alone.
+	maxReadBytes = 1 << 20
 )
 
-// Link is a store as a node sees it behind a thin link: answers go over it one after another, also
-// those that nobody waits for any more.
+// Link is a store behind a link with limited bandwidth. Answers are transmitted one after another,
+// including answers whose caller has given up.
 type Link struct {
 	store.Log
 	bytesPerSecond int
 
-	mutex  sync.Mutex
-	freeAt time.Time
-	reads  int
-	bytes  int
+	mutex     sync.Mutex
+	busyUntil time.Time
+	answers   int
+	bytes     int
 }
 
-// NewLink returns a store behind a link.
+// NewLink returns a Link to a store.
 func NewLink(log store.Log, bytesPerSecond int) *Link {
 	return &Link{Log: log, bytesPerSecond: bytesPerSecond}
 }
@@ -35,58 +35,58 @@
 var _ store.PageReader = (*Link)(nil)
 
 // Read implements store.Log.
-func (l *Link) Read(ctx context.Context, at store.Partition, from int64, wait time.Duration) (store.Batch, error) {
-	return l.carry(ctx, at, from, wait, readBytes)
+func (l *Link) Read(ctx context.Context, partition store.Partition, from int64, wait time.Duration) (store.Batch, error) {
+	return l.read(ctx, partition, from, wait, maxReadBytes)
 }
 
 // ReadPage implements store.PageReader.
-func (l *Link) ReadPage(ctx context.Context, at store.Partition, from int64, wait time.Duration, mostBytes int) (store.Batch, error) {
-	return l.carry(ctx, at, from, wait, mostBytes)
+func (l *Link) ReadPage(ctx context.Context, partition store.Partition, from int64, wait time.Duration, maxBytes int) (store.Batch, error) {
+	return l.read(ctx, partition, from, wait, maxBytes)
 }
 
-func (l *Link) carry(ctx context.Context, at store.Partition, from int64, wait time.Duration, mostBytes int) (store.Batch, error) {
-	read, err := l.Log.Read(ctx, at, from, wait)
+func (l *Link) read(ctx context.Context, partition store.Partition, from int64, wait time.Duration, maxBytes int) (store.Batch, error) {
+	batch, err := l.Log.Read(ctx, partition, from, wait)
 	if err != nil {
-		return read, err
+		return batch, err
 	}
-	read, size := cutRead(read, mostBytes)
+	batch, size := truncateBatch(batch, maxBytes)
 	select {
 	case <-ctx.Done():
 		return store.Batch{}, ctx.Err()
-	case <-time.After(l.send(size)):
-		return read, nil
+	case <-time.After(l.transmit(size)):
+		return batch, nil
 	}
 }
 
-// cutRead returns the part of an answer that one read hands out, and its size.
-func cutRead(read store.Batch, mostBytes int) (cut store.Batch, size int) {
-	for i, record := range read.Records {
-		if i > 0 && size+len(record.Value) > mostBytes {
-			read.Records, read.Next = read.Records[:i], record.Offset
+// truncateBatch returns the part of a batch that one read returns, and its size.
+func truncateBatch(batch store.Batch, maxBytes int) (truncated store.Batch, size int) {
+	for i, record := range batch.Records {
+		if i > 0 && size+len(record.Value) > maxBytes {
+			batch.Records, batch.Next = batch.Records[:i], record.Offset
 			break
 		}
 		size += len(record.Value)
 	}
-	return read, size
+	return batch, size
 }
 
-// send returns how long an answer of a size is under way.
-func (l *Link) send(size int) time.Duration {
+// transmit queues an answer of a size and returns the time until it arrives.
+func (l *Link) transmit(size int) time.Duration {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.reads++
+	l.answers++
 	l.bytes += size
 	now := time.Now()
-	if l.freeAt.Before(now) {
-		l.freeAt = now
+	if l.busyUntil.Before(now) {
+		l.busyUntil = now
 	}
-	l.freeAt = l.freeAt.Add(time.Duration(size) * time.Second / time.Duration(l.bytesPerSecond))
-	return l.freeAt.Sub(now) + linkWay
+	l.busyUntil = l.busyUntil.Add(time.Duration(size) * time.Second / time.Duration(l.bytesPerSecond))
+	return l.busyUntil.Sub(now) + linkLatency
 }
 
-// Sent returns how many answers went over the link, and their bytes.
+// Sent returns the number of answers transmitted so far, and their total size in bytes.
 func (l *Link) Sent() (reads, bytes int) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	return l.reads, l.bytes
+	return l.answers, l.bytes
 }
--- a/internal/store/storetest/memory.go
+++ b/internal/store/storetest/memory.go
@@ -1,5 +1,5 @@
-// Package storetest has a store in memory, with the faults of a real one, for
-// the tests of what is built on package store.
+// Package storetest provides in-memory stores with the faults and limits of a real one, for tests
+// of code that uses package store.
 package storetest
 
 import (
@@ -12,52 +12,52 @@
 	"dalehook/internal/store"
 )
 
-// Fault is how the store treats the calls that follow.
+// Fault is a way in which the store fails calls.
 type Fault int
 
 // The faults.
 const (
-	// FaultNone: calls are carried out and answered.
+	// FaultNone means that calls are carried out and answered.
 	FaultNone Fault = iota
-	// FaultRefuse: calls are refused, and nothing is done.
+	// FaultRefuse means that calls are refused and not carried out.
 	FaultRefuse
-	// FaultLoseAnswer: appends are carried out, and their answers are lost.
+	// FaultLoseAnswer means that appends are carried out but their answers are lost.
 	FaultLoseAnswer
-	// FaultSilent: nothing is done and nothing answered until the caller gives up.
+	// FaultSilent means that calls are not carried out and block until the caller gives up.
 	FaultSilent
 )
 
-// ErrLost is returned where an answer is lost.
-var ErrLost = errors.New("answer was lost")
+// ErrAnswerLost is returned by a call whose answer is lost.
+var ErrAnswerLost = errors.New("answer was lost")
 
-// Memory implements store.Log.
+// Memory is an in-memory store.Log.
 type Memory struct {
 	mutex      sync.Mutex
-	partitions map[store.Partition]*partition
+	partitions map[store.Partition]*partitionState
 	fault      Fault
 	appends    int
 }
 
-type partition struct {
+type partitionState struct {
 	first   int64
 	records []store.Record
-	// newest keeps keyed records whose history is gone.
-	newest []store.Record
-	// changed is closed when records come, or the fault changes: readers of one partition
-	// are not woken by what comes to others.
+	// compacted holds the records that Compact removed from records; Newest still considers them.
+	compacted []store.Record
+	// changed is closed and replaced when records are added or the fault changes. It exists per
+	// partition so that records of one partition do not wake readers of others.
 	changed chan struct{}
 }
 
-func (p *partition) end() int64 { return p.first + int64(len(p.records)) }
+func (p *partitionState) end() int64 { return p.first + int64(len(p.records)) }
 
 var _ store.Log = (*Memory)(nil)
 
 // NewMemory returns an empty store.
 func NewMemory() *Memory {
-	return &Memory{partitions: make(map[store.Partition]*partition)}
+	return &Memory{partitions: make(map[store.Partition]*partitionState)}
 }
 
-// SetFault sets how later calls are treated.
+// SetFault sets the fault of later calls, and of reads that are waiting.
 func (m *Memory) SetFault(fault Fault) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -74,23 +74,23 @@
 	return m.appends
 }
 
-// Put writes the record of a key, as the platform's other users do.
+// Put writes the record of a key, as other users of the platform's store do.
 func (m *Memory) Put(topic store.Topic, key string, value []byte) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	p := m.at(store.Partition{Topic: topic})
+	p := m.partitionFor(store.Partition{Topic: topic})
 	p.records = append(p.records, store.Record{Offset: p.end(), Key: key, Value: value})
 	p.notify()
 }
 
 // Trim implements store.Log.
-func (m *Memory) Trim(ctx context.Context, at store.Partition, before int64) error {
-	if _, err := m.enter(ctx); err != nil {
+func (m *Memory) Trim(ctx context.Context, partition store.Partition, before int64) error {
+	if _, err := m.beginCall(ctx); err != nil {
 		return err
 	}
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	p := m.at(at)
+	p := m.partitionFor(partition)
 	for len(p.records) > 0 && p.first < before {
 		p.records = p.records[1:]
 		p.first++
@@ -98,40 +98,40 @@
 	return nil
 }
 
-// Forget drops the history before an offset, but not the newest record of a key.
-func (m *Memory) Forget(at store.Partition, before int64) {
+// Compact removes the history before an offset, but keeps the newest record of each key for Newest.
+func (m *Memory) Compact(partition store.Partition, before int64) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	p := m.at(at)
+	p := m.partitionFor(partition)
 	for len(p.records) > 0 && p.first < before {
-		p.newest = append(p.newest, p.records[0])
+		p.compacted = append(p.compacted, p.records[0])
 		p.records = p.records[1:]
 		p.first++
 	}
 }
 
 // End returns the offset that the next record of a partition gets.
-func (m *Memory) End(at store.Partition) int64 {
+func (m *Memory) End(partition store.Partition) int64 {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	return m.at(at).end()
+	return m.partitionFor(partition).end()
 }
 
-// at returns a partition. The mutex is held.
-func (m *Memory) at(at store.Partition) *partition {
-	if m.partitions[at] == nil {
-		m.partitions[at] = &partition{changed: make(chan struct{})}
+// partitionFor returns the state of a partition. The mutex must be held.
+func (m *Memory) partitionFor(partition store.Partition) *partitionState {
+	if m.partitions[partition] == nil {
+		m.partitions[partition] = &partitionState{changed: make(chan struct{})}
 	}
-	return m.partitions[at]
+	return m.partitions[partition]
 }
 
-func (p *partition) notify() {
+func (p *partitionState) notify() {
 	close(p.changed)
 	p.changed = make(chan struct{})
 }
 
-// enter applies the fault to a call.
-func (m *Memory) enter(ctx context.Context) (Fault, error) {
+// beginCall applies the fault to a call.
+func (m *Memory) beginCall(ctx context.Context) (Fault, error) {
 	m.mutex.Lock()
 	fault := m.fault
 	m.mutex.Unlock()
@@ -146,23 +146,23 @@
 }
 
 // Append implements store.Log.
-func (m *Memory) Append(ctx context.Context, at store.Partition, payloads [][]byte) (int64, error) {
-	return m.append(ctx, at, -1, payloads)
+func (m *Memory) Append(ctx context.Context, partition store.Partition, payloads [][]byte) (int64, error) {
+	return m.append(ctx, partition, -1, payloads)
 }
 
 // AppendAt implements store.Log.
-func (m *Memory) AppendAt(ctx context.Context, at store.Partition, end int64, payloads [][]byte) (int64, error) {
-	return m.append(ctx, at, end, payloads)
+func (m *Memory) AppendAt(ctx context.Context, partition store.Partition, end int64, payloads [][]byte) (int64, error) {
+	return m.append(ctx, partition, end, payloads)
 }
 
-func (m *Memory) append(ctx context.Context, at store.Partition, end int64, payloads [][]byte) (int64, error) {
-	fault, err := m.enter(ctx)
+func (m *Memory) append(ctx context.Context, partition store.Partition, end int64, payloads [][]byte) (int64, error) {
+	fault, err := m.beginCall(ctx)
 	if err != nil {
 		return 0, err
 	}
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	p := m.at(at)
+	p := m.partitionFor(partition)
 	if end >= 0 && p.end() != end {
 		return 0, &store.ConditionError{End: p.end()}
 	}
@@ -173,14 +173,14 @@
 	m.appends++
 	p.notify()
 	if fault == FaultLoseAnswer {
-		return 0, ErrLost
+		return 0, ErrAnswerLost
 	}
 	return first, nil
 }
 
 // PutKeyed implements store.Log.
 func (m *Memory) PutKeyed(ctx context.Context, topic store.Topic, records []store.Record) error {
-	fault, err := m.enter(ctx)
+	fault, err := m.beginCall(ctx)
 	if err != nil {
 		return err
 	}
@@ -191,20 +191,20 @@
 	m.appends++
 	m.mutex.Unlock()
 	if fault == FaultLoseAnswer {
-		return ErrLost
+		return ErrAnswerLost
 	}
 	return nil
 }
 
 // Read implements store.Log.
-func (m *Memory) Read(ctx context.Context, at store.Partition, from int64, wait time.Duration) (store.Batch, error) {
-	if _, err := m.enter(ctx); err != nil {
+func (m *Memory) Read(ctx context.Context, partition store.Partition, from int64, wait time.Duration) (store.Batch, error) {
+	if _, err := m.beginCall(ctx); err != nil {
 		return store.Batch{}, err
 	}
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	for waited := false; ; {
-		batch, changed, err := m.read(at, from)
+		batch, changed, err := m.read(partition, from)
 		if err != nil || len(batch.Records) > 0 || waited {
 			return batch, err
 		}
@@ -214,21 +214,21 @@
 		case <-timer.C:
 			waited = true
 		case <-changed:
-			if _, err := m.enter(ctx); err != nil {
+			if _, err := m.beginCall(ctx); err != nil {
 				return store.Batch{}, err
 			}
 		}
 	}
 }
 
-func (m *Memory) read(at store.Partition, from int64) (store.Batch, <-chan struct{}, error) {
+func (m *Memory) read(partition store.Partition, from int64) (store.Batch, <-chan struct{}, error) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	if m.fault == FaultRefuse {
-		// The fault may have begun since the call was entered.
+		// The fault may have been set since the call began.
 		return store.Batch{}, nil, store.ErrRefused
 	}
-	p := m.at(at)
+	p := m.partitionFor(partition)
 	if from < p.first {
 		return store.Batch{}, nil, &store.TrimmedError{First: p.first}
 	}
@@ -239,7 +239,7 @@
 
 // Newest implements store.Log.
 func (m *Memory) Newest(ctx context.Context, topic store.Topic) ([]store.Record, int64, error) {
-	if _, err := m.enter(ctx); err != nil {
+	if _, err := m.beginCall(ctx); err != nil {
 		return nil, 0, err
 	}
 	m.mutex.Lock()
@@ -247,11 +247,11 @@
 	if m.fault == FaultRefuse {
 		return nil, 0, store.ErrRefused
 	}
-	p := m.at(store.Partition{Topic: topic})
+	p := m.partitionFor(store.Partition{Topic: topic})
 	newest := make(map[string]store.Record)
 	var keys []string
-	for _, record := range append(slices.Clone(p.newest), p.records...) {
-		if _, known := newest[record.Key]; !known {
+	for _, record := range append(slices.Clone(p.compacted), p.records...) {
+		if _, seen := newest[record.Key]; !seen {
 			keys = append(keys, record.Key)
 		}
 		newest[record.Key] = record
--- a/internal/store/storetest/memory_test.go
+++ b/internal/store/storetest/memory_test.go
@@ -8,17 +8,17 @@
 	"dalehook/internal/store"
 )
 
-// A store that refuses calls gives nothing of what is put meanwhile, also to a call that it
-// took just before.
-func TestNothingIsReadWhileCallsAreRefused(t *testing.T) {
+// While the store refuses calls, no read returns records that are put in the meantime, not even a
+// read that began before the fault was set.
+func TestRefusedReadReturnsNoRecords(t *testing.T) {
 	for range 3000 {
 		memory := NewMemory()
 		var stop, seen atomic.Bool
-		ended := make(chan struct{})
-		begun := make(chan struct{})
+		readerDone := make(chan struct{})
+		readerStarted := make(chan struct{})
 		go func() {
-			defer close(ended)
-			close(begun)
+			defer close(readerDone)
+			close(readerStarted)
 			for !stop.Load() {
 				read, err := memory.Read(context.Background(), store.Partition{Topic: store.TopicServers}, 0, 0)
 				if err == nil && len(read.Records) > 0 {
@@ -26,13 +26,13 @@
 				}
 			}
 		}()
-		<-begun
+		<-readerStarted
 		memory.SetFault(FaultRefuse)
 		memory.Put(store.TopicServers, "a", []byte("1"))
 		stop.Store(true)
-		<-ended
+		<-readerDone
 		if seen.Load() {
-			t.Fatal("a record was read that was put while calls were refused")
+			t.Fatal("a read returned a record that was put while calls were refused")
 		}
 	}
 }
--- a/internal/store/storetest/shared.go
+++ b/internal/store/storetest/shared.go
@@ -12,74 +12,78 @@
 	"dalehook/internal/store"
 )
 
-// Limits are what a store carries for all nodes together.
+// Limits are the limits of a store, for all nodes together.
 type Limits struct {
-	// BytesPerSecond is what its link carries; answers go over it one after another, also those that
-	// nobody waits for any more.
+	// BytesPerSecond is the bandwidth of its link. Answers are transmitted one after another,
+	// including answers whose caller has given up.
 	BytesPerSecond int
-	// ReadsPerSecond and WritesPerSecond bound the calls; more are throttled.
+	// ReadsPerSecond and WritesPerSecond are the rate limits of calls; calls beyond are throttled.
 	ReadsPerSecond, WritesPerSecond int
-	// Answer is how long an answer is under way beside its size.
-	Answer time.Duration
-	// RecordBytes and CallBytes bound what is appended.
-	RecordBytes, CallBytes int
-	// PageRecords bounds a page of the newest records; 0 means 500.
-	PageRecords int
+	// Latency is the latency of an answer, in addition to its transmission time.
+	Latency time.Duration
+	// MaxRecordBytes and MaxCallBytes bound a record and the records of one append.
+	MaxRecordBytes, MaxCallBytes int
+	// MaxPageRecords bounds a page of the newest records; 0 means 500.
+	MaxPageRecords int
 }
 
 const (
-	// mostBacklog is the time for which answers may wait for the link; calls are refused beyond.
-	mostBacklog = 2 * time.Second
-	// newestPageRecords bounds a page of the newest records unless the limits say so.
-	newestPageRecords = 500
-	// readHead and recordHead are what an answer has beside the values of its records.
-	readHead, recordHead = 200, 24
+	// maxLinkBacklog is the maximum time that answers may wait for the link; beyond it calls are
+	// refused.
+	maxLinkBacklog = 2 * time.Second
+	// defaultPageRecords is the default of Limits.MaxPageRecords.
+	defaultPageRecords = 500
+	// answerOverheadBytes and recordOverheadBytes are the sizes of an answer and of each record in
+	// it, in addition to keys and values.
+	answerOverheadBytes, recordOverheadBytes = 200, 24
 )
 
-// Traffic counts calls and the bytes of their answers and records.
+// Traffic counts calls and the bytes of their records and answers.
 type Traffic struct{ Calls, Bytes int }
 
-// Shared is a store that many nodes share, with the limits of a real one.
+// Shared is a store that many nodes share, with the limits of a real store.
 type Shared struct {
 	*Memory
 	limits Limits
 
-	mutex   sync.Mutex
-	freeAt  time.Time
-	second  time.Time
-	reads   int
-	writes  int
-	fault   Fault
-	struck  func(node int) bool
-	traffic map[store.Topic]Traffic
-	// newest are the newest records of the servers' topic as they stood at newestEnd.
-	newest    []store.Record
-	newestEnd int64
+	mutex       sync.Mutex
+	busyUntil   time.Time
+	secondStart time.Time
+	reads       int
+	writes      int
+	fault       Fault
+	affected    func(node int) bool
+	traffic     map[store.Topic]Traffic
+	// sortedServers caches the newest records of store.TopicServers, ordered by key, as of the
+	// partition's end sortedServersEnd.
+	sortedServers    []store.Record
+	sortedServersEnd int64
 }
 
 // NewShared returns an empty store.
 func NewShared(limits Limits) *Shared {
-	return &Shared{Memory: NewMemory(), limits: limits, traffic: make(map[store.Topic]Traffic), newestEnd: -1}
+	return &Shared{Memory: NewMemory(), limits: limits, traffic: make(map[store.Topic]Traffic), sortedServersEnd: -1}
 }
 
-// Strike has the store refuse the calls of some nodes, or stay silent to them; nil ends it.
-func (s *Shared) Strike(fault Fault, struck func(node int) bool) {
+// SetNodeFault sets the fault of calls by the nodes for which affected returns true: FaultSilent
+// blocks them, any other fault refuses them. A nil affected clears the fault.
+func (s *Shared) SetNodeFault(fault Fault, affected func(node int) bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.fault, s.struck = fault, struck
+	s.fault, s.affected = fault, affected
 }
 
-// Traffic returns what was called for and sent for a topic.
+// Traffic returns the traffic of a topic so far.
 func (s *Shared) Traffic(topic store.Topic) Traffic {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.traffic[topic]
 }
 
-// Node returns the store as one node reaches it.
+// Node returns the store as seen by one node.
 func (s *Shared) Node(number int) *SharedNode { return &SharedNode{shared: s, number: number} }
 
-// SharedNode is a store that many nodes share as one of them reaches it.
+// SharedNode is a Shared store as seen by one node.
 type SharedNode struct {
 	shared *Shared
 	number int
@@ -91,32 +95,33 @@
 	_ store.PageReader  = (*SharedNode)(nil)
 )
 
-// enter counts a call, and refuses it where there are too many.
-func (n *SharedNode) enter(ctx context.Context, topic store.Topic, writes bool) error {
+// beginCall counts a call and applies the node's fault, the rate limits and the link's backlog
+// limit to it.
+func (n *SharedNode) beginCall(ctx context.Context, topic store.Topic, write bool) error {
 	s := n.shared
 	s.mutex.Lock()
 	traffic := s.traffic[topic]
 	traffic.Calls++
 	s.traffic[topic] = traffic
 	now := time.Now()
-	if now.Sub(s.second) >= time.Second {
-		s.second, s.reads, s.writes = now, 0, 0
+	if now.Sub(s.secondStart) >= time.Second {
+		s.secondStart, s.reads, s.writes = now, 0, 0
 	}
-	struck := s.struck != nil && s.struck(n.number)
+	affected := s.affected != nil && s.affected(n.number)
 	fault := s.fault
-	counted, most := &s.reads, s.limits.ReadsPerSecond
-	if writes {
-		counted, most = &s.writes, s.limits.WritesPerSecond
+	counter, limit := &s.reads, s.limits.ReadsPerSecond
+	if write {
+		counter, limit = &s.writes, s.limits.WritesPerSecond
 	}
-	*counted++
-	throttled := *counted > most
-	overloaded := s.freeAt.Sub(now) > mostBacklog
+	*counter++
+	throttled := *counter > limit
+	overloaded := s.busyUntil.Sub(now) > maxLinkBacklog
 	s.mutex.Unlock()
 	switch {
-	case struck && fault == FaultSilent:
+	case affected && fault == FaultSilent:
 		<-ctx.Done()
 		return ctx.Err()
-	case struck || overloaded:
+	case affected || overloaded:
 		return store.ErrRefused
 	case throttled:
 		return store.ErrThrottled
@@ -124,19 +129,19 @@
 	return ctx.Err()
 }
 
-// carry waits until an answer of a size has gone over the link.
-func (n *SharedNode) carry(ctx context.Context, topic store.Topic, size int) error {
+// transmit waits until an answer of a size has been transmitted over the link.
+func (n *SharedNode) transmit(ctx context.Context, topic store.Topic, size int) error {
 	s := n.shared
 	s.mutex.Lock()
 	traffic := s.traffic[topic]
 	traffic.Bytes += size
 	s.traffic[topic] = traffic
 	now := time.Now()
-	if s.freeAt.Before(now) {
-		s.freeAt = now
+	if s.busyUntil.Before(now) {
+		s.busyUntil = now
 	}
-	s.freeAt = s.freeAt.Add(time.Duration(size) * time.Second / time.Duration(s.limits.BytesPerSecond))
-	wait := s.freeAt.Sub(now) + s.limits.Answer
+	s.busyUntil = s.busyUntil.Add(time.Duration(size) * time.Second / time.Duration(s.limits.BytesPerSecond))
+	wait := s.busyUntil.Sub(now) + s.limits.Latency
 	s.mutex.Unlock()
 	if !pause.For(ctx, wait) {
 		return ctx.Err()
@@ -144,10 +149,10 @@
 	return nil
 }
 
-func sizeOf(records []store.Record) int {
-	size := readHead
+func answerSize(records []store.Record) int {
+	size := answerOverheadBytes
 	for _, record := range records {
-		size += recordHead + len(record.Key) + len(record.Value)
+		size += recordOverheadBytes + len(record.Key) + len(record.Value)
 	}
 	return size
 }
@@ -156,42 +161,42 @@
 	total := 0
 	for _, payload := range payloads {
 		total += len(payload)
-		if len(payload) > n.shared.limits.RecordBytes {
+		if len(payload) > n.shared.limits.MaxRecordBytes {
 			return store.ErrInvalid
 		}
 	}
-	if total > n.shared.limits.CallBytes {
+	if total > n.shared.limits.MaxCallBytes {
 		return store.ErrInvalid
 	}
 	return nil
 }
 
-// append carries out an append of a size; apply does it.
+// append subjects an append of payloads to the limits and then carries it out by apply.
 func (n *SharedNode) append(ctx context.Context, topic store.Topic, payloads [][]byte, apply func() (int64, error)) (int64, error) {
-	if err := n.enter(ctx, topic, true); err != nil {
+	if err := n.beginCall(ctx, topic, true); err != nil {
 		return 0, err
 	}
 	if err := n.checkPayloads(payloads); err != nil {
 		return 0, err
 	}
-	size := readHead
+	size := answerOverheadBytes
 	for _, payload := range payloads {
 		size += len(payload)
 	}
-	if err := n.carry(ctx, topic, size); err != nil {
+	if err := n.transmit(ctx, topic, size); err != nil {
 		return 0, err
 	}
 	return apply()
 }
 
 // Append implements store.Log.
-func (n *SharedNode) Append(ctx context.Context, at store.Partition, payloads [][]byte) (int64, error) {
-	return n.append(ctx, at.Topic, payloads, func() (int64, error) { return n.shared.Memory.Append(ctx, at, payloads) })
+func (n *SharedNode) Append(ctx context.Context, partition store.Partition, payloads [][]byte) (int64, error) {
+	return n.append(ctx, partition.Topic, payloads, func() (int64, error) { return n.shared.Memory.Append(ctx, partition, payloads) })
 }
 
 // AppendAt implements store.Log.
-func (n *SharedNode) AppendAt(ctx context.Context, at store.Partition, end int64, payloads [][]byte) (int64, error) {
-	return n.append(ctx, at.Topic, payloads, func() (int64, error) { return n.shared.Memory.AppendAt(ctx, at, end, payloads) })
+func (n *SharedNode) AppendAt(ctx context.Context, partition store.Partition, end int64, payloads [][]byte) (int64, error) {
+	return n.append(ctx, partition.Topic, payloads, func() (int64, error) { return n.shared.Memory.AppendAt(ctx, partition, end, payloads) })
 }
 
 // PutKeyed implements store.Log.
@@ -201,21 +206,21 @@
 }
 
 // Read implements store.Log.
-func (n *SharedNode) Read(ctx context.Context, at store.Partition, from int64, wait time.Duration) (store.Batch, error) {
-	return n.ReadPage(ctx, at, from, wait, readBytes)
+func (n *SharedNode) Read(ctx context.Context, partition store.Partition, from int64, wait time.Duration) (store.Batch, error) {
+	return n.ReadPage(ctx, partition, from, wait, maxReadBytes)
 }
 
 // ReadPage implements store.PageReader.
-func (n *SharedNode) ReadPage(ctx context.Context, at store.Partition, from int64, wait time.Duration, mostBytes int) (store.Batch, error) {
-	if err := n.enter(ctx, at.Topic, false); err != nil {
+func (n *SharedNode) ReadPage(ctx context.Context, partition store.Partition, from int64, wait time.Duration, maxBytes int) (store.Batch, error) {
+	if err := n.beginCall(ctx, partition.Topic, false); err != nil {
 		return store.Batch{}, err
 	}
-	read, err := n.shared.Memory.Read(ctx, at, from, wait)
+	batch, err := n.shared.Memory.Read(ctx, partition, from, wait)
 	if err != nil {
-		return read, err
+		return batch, err
 	}
-	read, _ = cutRead(read, mostBytes)
-	return read, n.carry(ctx, at.Topic, sizeOf(read.Records))
+	batch, _ = truncateBatch(batch, maxBytes)
+	return batch, n.transmit(ctx, partition.Topic, answerSize(batch.Records))
 }
 
 // Newest implements store.Log.
@@ -240,10 +245,10 @@
 
 // NewestPage implements store.NewestPager.
 func (n *SharedNode) NewestPage(ctx context.Context, topic store.Topic, after string) (store.NewestPage, error) {
-	if err := n.enter(ctx, topic, false); err != nil {
+	if err := n.beginCall(ctx, topic, false); err != nil {
 		return store.NewestPage{}, err
 	}
-	records, end, err := n.shared.newestOf(ctx, topic)
+	records, end, err := n.shared.newestByKey(ctx, topic)
 	if err != nil {
 		return store.NewestPage{}, err
 	}
@@ -251,18 +256,18 @@
 	if found {
 		from++
 	}
-	most := cmp.Or(n.shared.limits.PageRecords, newestPageRecords)
-	page := store.NewestPage{Records: records[from:min(from+most, len(records))], End: end, More: from+most < len(records)}
-	return page, n.carry(ctx, topic, sizeOf(page.Records))
+	limit := cmp.Or(n.shared.limits.MaxPageRecords, defaultPageRecords)
+	page := store.NewestPage{Records: records[from:min(from+limit, len(records))], End: end, More: from+limit < len(records)}
+	return page, n.transmit(ctx, topic, answerSize(page.Records))
 }
 
-// newestOf returns the newest records of a topic in the order of their keys.
-func (s *Shared) newestOf(ctx context.Context, topic store.Topic) ([]store.Record, int64, error) {
+// newestByKey returns the newest records of a topic, ordered by key.
+func (s *Shared) newestByKey(ctx context.Context, topic store.Topic) ([]store.Record, int64, error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	end := s.Memory.End(store.Partition{Topic: topic})
-	if topic == store.TopicServers && end == s.newestEnd {
-		return s.newest, end, nil
+	if topic == store.TopicServers && end == s.sortedServersEnd {
+		return s.sortedServers, end, nil
 	}
 	records, end, err := s.Memory.Newest(ctx, topic)
 	if err != nil {
@@ -270,7 +275,7 @@
 	}
 	slices.SortFunc(records, func(a, b store.Record) int { return strings.Compare(a.Key, b.Key) })
 	if topic == store.TopicServers {
-		s.newest, s.newestEnd = records, end
+		s.sortedServers, s.sortedServersEnd = records, end
 	}
 	return records, end, nil
 }
--- a/internal/storeproxy/storeproxy_test.go
+++ b/internal/storeproxy/storeproxy_test.go
@@ -55,7 +55,7 @@
 		{"what is gone", 0, 2, []string{"config=2", "version/m=3"}, true},
 	}
 	for _, c := range cases {
-		memory.Forget(store.Partition{Topic: store.TopicOperator}, c.forget)
+		memory.Compact(store.Partition{Topic: store.TopicOperator}, c.forget)
 		time.Sleep(freshFor)
 		answer, err := Ask(context.Background(), peers, Question{From: c.from})
 		if diff := cmp.Diff(c.want, values(answer)); diff != "" || err != nil || answer.Whole != c.whole || answer.Next != 3 {
--- a/internal/usage/reporter.go
+++ b/internal/usage/reporter.go
@@ -185,7 +185,7 @@
 	callCtx, cancel := context.WithTimeout(ctx, 2*appendTimeout)
 	defer cancel()
 	lateBefore := r.ledger.LateRequests()
-	reachedEnd, err := store.ReadOn(callCtx, r.options.Log, Partition, r.nextOffset, func(batch store.Batch) bool {
+	reachedEnd, err := store.Scan(callCtx, r.options.Log, Partition, r.nextOffset, func(batch store.Batch) bool {
 		for _, record := range batch.Records {
 			if err := r.ledger.Apply(record.Offset, record.Value); err != nil {
 				r.options.Logger.Error("invalid usage record", zap.Error(err))
