--- a/internal/coordinator/handover.go
+++ b/internal/coordinator/handover.go
@@ -79,7 +79,7 @@
 // quiesceLocked stops new runs and orders; the current runs continue.
 func (c *Coordinator) quiesceLocked() {
 	c.machine.Resign(clock.Now())
-	c.execute(c.machine.Take())
+	c.execute(c.machine.TakeOutput())
 }
 
 // HandOver ends the runs of a resigned term and returns the state that its successor needs. It is
@@ -99,7 +99,7 @@
 func (c *Coordinator) handOverLocked() {
 	c.writer.dropProgress()
 	c.machine.SaveCheckpoints(clock.Now())
-	output := c.machine.Take()
+	output := c.machine.TakeOutput()
 	// Progress is handed over as a whole: records that the writer had already appended would be
 	// missing from its pending records.
 	progress := c.progressRecords(output.Progress)
--- a/internal/coordinator/term.go
+++ b/internal/coordinator/term.go
@@ -104,7 +104,7 @@
 // handleRecovered passes the saved progress of a partition, by item, to the scheduler of a term
 // and returns the number of items.
 func (c *Coordinator) handleRecovered(machine *scheduler.Machine, number int, partials map[string]*batch.Partial) int64 {
-	c.withTermScheduler(machine, func(now time.Time) { machine.HandleRecovered(now, number, partials) })
+	c.withTermScheduler(machine, func(now time.Time) { machine.HandleRecoveredProgress(now, number, partials) })
 	return int64(len(partials))
 }
 
--- a/internal/frontend/jobreads_absent_test.go
+++ b/internal/frontend/jobreads_absent_test.go
@@ -16,10 +16,10 @@
 // fail to answer, but must not report them as absent.
 func checkNotReportedAbsent(t *testing.T, node *readerNode, job, item string) {
 	t.Helper()
-	if _, _, verdict := node.results(context.Background(), batch.Name{ID: job}, 0, 0); verdict == VerdictAbsent {
+	if _, _, verdict := node.results(context.Background(), batch.JobKey{ID: job}, 0, 0); verdict == VerdictAbsent {
 		t.Errorf("job %s is reported as absent", job)
 	}
-	if _, verdict := node.itemBody(context.Background(), batch.Name{ID: job}, item); verdict == VerdictAbsent {
+	if _, verdict := node.itemBody(context.Background(), batch.JobKey{ID: job}, item); verdict == VerdictAbsent {
 		t.Errorf("item %s is reported as absent", item)
 	}
 }
@@ -83,7 +83,7 @@
 	checkNotReportedAbsent(t, coordinator, "accepted later", "accepted later-0")
 	checkNotReportedAbsent(t, node, "accepted later", "accepted later-0")
 	cut.cut.Store(false)
-	if _, verdict := node.itemBody(context.Background(), batch.Name{ID: "accepted later"}, "accepted later-0"); verdict != VerdictDone {
+	if _, verdict := node.itemBody(context.Background(), batch.JobKey{ID: "accepted later"}, "accepted later-0"); verdict != VerdictDone {
 		t.Errorf("after the store is reachable again: %v", verdict)
 	}
 }
@@ -104,7 +104,7 @@
 	for name, reader := range map[string]*readerNode{"coordinator": coordinator, "node": node, "without a coordinator": newReaderNode(t, memory)} {
 		t.Run(name, func(t *testing.T) { checkNotReportedAbsent(t, reader, "not indexed", "not indexed-0") })
 	}
-	if body := coordinator.FollowedBody(jobread.BodyRequest{Job: batch.Name{ID: "not indexed"}, ItemID: "not indexed-0"}); body.Verdict != jobread.Found {
+	if body := coordinator.FollowedBody(jobread.BodyRequest{Job: batch.JobKey{ID: "not indexed"}, ItemID: "not indexed-0"}); body.Verdict != jobread.Found {
 		t.Errorf("the coordinator: %v", body.Verdict)
 	}
 }
@@ -145,7 +145,7 @@
 			t.Error(err)
 		}
 	}()
-	_, results, verdict := node.results(context.Background(), batch.Name{ID: "job"}, 0, time.Second)
+	_, results, verdict := node.results(context.Background(), batch.JobKey{ID: "job"}, 0, time.Second)
 	if verdict == VerdictDone && len(results) == 0 {
 		t.Error("a result appended 1.7 s ago is missing from the answer")
 	}
