--- a/internal/frontend/election.go
+++ b/internal/frontend/election.go
@@ -45,7 +45,7 @@
 func (n *Node) observeLease(state election.State) {
 	n.jobReader.observeCoordinator(state.Leading, state.Coordinator)
 	n.electionState.Store(&state)
-	n.peers.Note(state.Coordinator)
+	n.peers.Add(state.Coordinator)
 	n.coordinator.ObserveLease(state)
 	n.updateOperatorGuide(state)
 }
@@ -75,4 +75,4 @@
 }
 
 // NoteAsked implements liveness.Holder.
-func (n *Node) NoteCaller(address string) { n.peers.Note(address) }
+func (n *Node) NoteCaller(address string) { n.peers.Add(address) }
--- a/internal/frontend/fleet_test.go
+++ b/internal/frontend/fleet_test.go
@@ -210,7 +210,7 @@
 }
 
 func (n *fleetNode) observe(state election.State) {
-	n.peers.Note(state.Coordinator)
+	n.peers.Add(state.Coordinator)
 	if n.guide != nil {
 		n.guide.Observe(fanoutReport(state, true))
 	}
@@ -313,7 +313,7 @@
 			asked := time.Now()
 			poll, cancel := node.guide.UntilReadable(ctx)
 			defer cancel()
-			answer, err := fanout.Poll(poll, f.take, node.peers.Known(), from, name)
+			answer, err := fanout.Poll(poll, f.take, node.peers.Addresses(), from, name)
 			if err == nil {
 				node.source.MarkUpToDate(asked.Add(-answer.Age))
 				return follow.Relay{Records: answer.Records, Whole: answer.Whole, Next: answer.Next}, nil
@@ -367,7 +367,7 @@
 		if holder.isStopped() {
 			return liveness.Unknown
 		}
-		holder.peers.Note(name)
+		holder.peers.Add(name)
 		if epoch > 0 && holder.yielder.Yield(epoch) {
 			return liveness.Yielded
 		}
@@ -377,19 +377,19 @@
 
 // relayFunc returns the function by which a node reads the operator topic by way of others.
 func (f *fleetOfNodes) relayFunc(node *fleetNode) func(context.Context, int64) (follow.Relay, error) {
-	call := func(ctx context.Context, address string, question storeproxy.Question) (storeproxy.Answer, error) {
+	call := func(ctx context.Context, address string, question storeproxy.ReadRequest) (storeproxy.ReadReply, error) {
 		reader := f.nodeAt(address)
 		if reader.isStopped() {
-			return storeproxy.Answer{}, errNoAddress
+			return storeproxy.ReadReply{}, errNoAddress
 		}
 		answer := reader.proxy.Read(question)
 		if !pause.For(ctx, reader.link.send(sizeOf(answer.Records))) {
-			return storeproxy.Answer{}, ctx.Err()
+			return storeproxy.ReadReply{}, ctx.Err()
 		}
 		return answer, nil
 	}
 	return func(ctx context.Context, from int64) (follow.Relay, error) {
-		answer, err := storeproxy.AskBy(ctx, call, &node.peers, storeproxy.Question{From: from})
+		answer, err := storeproxy.ReadViaFunc(ctx, call, &node.peers, storeproxy.ReadRequest{From: from})
 		return follow.Relay{Records: answer.Records, Whole: answer.Whole, Next: answer.Next}, err
 	}
 }
--- a/internal/frontend/operatorfollow.go
+++ b/internal/frontend/operatorfollow.go
@@ -108,7 +108,7 @@
 	if n.operatorGuide.HasAnnouncement() {
 		poll, cancel := n.operatorGuide.UntilReadable(ctx)
 		defer cancel()
-		answer, err := fanout.Poll(poll, fanout.CallNode, n.peers.Known(), from, n.options.Settings.Listen.Internal)
+		answer, err := fanout.Poll(poll, fanout.CallNode, n.peers.Addresses(), from, n.options.Settings.Listen.Internal)
 		if err == nil {
 			n.recordOperatorFreshness(asked.Add(-answer.Age))
 			return follow.Relay{Records: answer.Records, Whole: answer.Whole, Next: answer.Next}, nil
@@ -119,7 +119,7 @@
 		n.logger.Debug("no node passes the operator topic on", zap.Error(err))
 		asked = clock.Now()
 	}
-	answer, err := storeproxy.Ask(ctx, &n.peers, storeproxy.Question{From: from})
+	answer, err := storeproxy.ReadVia(ctx, &n.peers, storeproxy.ReadRequest{From: from})
 	if err != nil {
 		return follow.Relay{}, err
 	}
@@ -127,6 +127,6 @@
 	return relayFrom(answer), nil
 }
 
-func relayFrom(answer storeproxy.Answer) follow.Relay {
+func relayFrom(answer storeproxy.ReadReply) follow.Relay {
 	return follow.Relay{Records: answer.Records, Whole: answer.Whole, Next: answer.Next}
 }
--- a/internal/frontend/quarantine.go
+++ b/internal/frontend/quarantine.go
@@ -26,7 +26,7 @@
 }
 
 func (n *Node) readQuarantineRelayed(ctx context.Context, from int64) (follow.Relay, error) {
-	answer, err := storeproxy.Ask(ctx, &n.peers, storeproxy.Question{Topic: store.TopicQuarantine, From: from})
+	answer, err := storeproxy.ReadVia(ctx, &n.peers, storeproxy.ReadRequest{Topic: store.TopicQuarantine, From: from})
 	if err != nil {
 		return follow.Relay{}, err
 	}
@@ -34,7 +34,7 @@
 }
 
 func (n *Node) putQuarantineRelayed(ctx context.Context, records []store.Record) error {
-	return storeproxy.Put(ctx, &n.peers, storeproxy.Addition{Topic: store.TopicQuarantine, Records: records})
+	return storeproxy.PutVia(ctx, &n.peers, storeproxy.PutRequest{Topic: store.TopicQuarantine, Records: records})
 }
 
 // notifyServersChanged tells the quarantine and the coordinator that the list of servers has
--- a/internal/storeproxy/builds_test.go
+++ b/internal/storeproxy/builds_test.go
@@ -12,60 +12,57 @@
 	"dalehook/internal/store/storetest"
 )
 
-// A node that the store turns away, and that asks a node of an earlier build for the quarantine, is given the
-// operator's records, and goes on from an offset in the operator's topic (by this test; found by listing
-// what nodes say to each other).
-//
-// Cause: the earlier build's question has no topic, and all reads were of the operator's; a topic was added to
-// the question, and gob drops what the reader does not know. What proves it: a node that answers as that
-// build does.
+// Guards against a node taking records of the operator's topic for those of the quarantine, and an
+// offset in the former for one in the latter. This happened when the store refused its calls and it
+// asked a node of an earlier build: that build's request has no topic and always reads the operator's,
+// and gob ignores fields that the receiver does not have.
 
-// EarlierQuestion is the question of builds that read the operator's topic alone.
-type EarlierQuestion struct{ From int64 }
+// EarlierReadRequest is the read request of builds that read only the operator's topic.
+type EarlierReadRequest struct{ From int64 }
 
 type earlierService struct{ log store.Log }
 
-// Read answers as such a build does.
-func (s *earlierService) Read(question EarlierQuestion, answer *Answer) error {
-	return read(context.Background(), s.log, Question{From: question.From}, answer)
+// Read replies as such a build does.
+func (s *earlierService) Read(request EarlierReadRequest, reply *ReadReply) error {
+	return readTopic(context.Background(), s.log, ReadRequest{From: request.From}, reply)
 }
 
-// earlierNode is node for such a build.
-func earlierNode(t *testing.T, log store.Log) string {
+// serveEarlierNode is serveNode for such a build.
+func serveEarlierNode(t *testing.T, log store.Log) string {
 	t.Helper()
 	return nodecalltest.Serve(t, nodecalltest.WithService("Store", &earlierService{log: log}))
 }
 
-func TestANodeOfAnEarlierBuildIsNotTakenAtItsWordForAnotherTopic(t *testing.T) {
+func TestEarlierBuildServesOnlyOperatorTopic(t *testing.T) {
 	memory := operatorLog()
 	memory.Put(store.TopicQuarantine, "end", []byte("1"))
-	earlier := earlierNode(t, memory)
+	earlier := serveEarlierNode(t, memory)
 	peers := &Peers{}
-	peers.Note(earlier)
-	question := Question{Topic: store.TopicQuarantine, From: -1}
-	if answer, err := Ask(context.Background(), peers, question); err == nil {
-		t.Errorf("answered %v up to %d", values(answer), answer.Next)
+	peers.Add(earlier)
+	request := ReadRequest{Topic: store.TopicQuarantine, From: -1}
+	if reply, err := ReadVia(context.Background(), peers, request); err == nil {
+		t.Errorf("the earlier build replied with %v up to %d", values(reply), reply.Next)
 	}
-	// What the operator put is still read by way of it.
-	if answer, err := Ask(context.Background(), peers, Question{From: 1}); err != nil || len(answer.Records) != 2 {
-		t.Errorf("operator's topic: %v, %v", values(answer), err)
+	// The operator's topic can still be read through it.
+	if reply, err := ReadVia(context.Background(), peers, ReadRequest{From: 1}); err != nil || len(reply.Records) != 2 {
+		t.Errorf("operator's topic: %v, %v", values(reply), err)
 	}
-	// A node of this build that is known as well is asked next.
-	peers.Note(node(t, memory, &Peers{}))
-	peers.Note(earlier)
-	answer, err := Ask(context.Background(), peers, question)
-	if diff := cmp.Diff([]string{"end=1"}, values(answer)); err != nil || diff != "" {
+	// If a node of this build is known as well, it is tried next.
+	peers.Add(serveNode(t, memory, &Peers{}))
+	peers.Add(earlier)
+	reply, err := ReadVia(context.Background(), peers, request)
+	if diff := cmp.Diff([]string{"end=1"}, values(reply)); err != nil || diff != "" {
 		t.Errorf("%v: %s", err, diff)
 	}
 }
 
-// Nodes of builds that ask for any topic by the first call are still answered.
-func TestATopicIsReadByTheFirstCall(t *testing.T) {
+// Builds that request all topics by Store.Read are still served.
+func TestReadMethodServesAnyTopic(t *testing.T) {
 	memory := storetest.NewMemory()
 	memory.Put(store.TopicQuarantine, "end", []byte("1"))
-	var answer Answer
-	err := nodecall.Call(context.Background(), node(t, memory, &Peers{}), "Store.Read", Question{Topic: store.TopicQuarantine, From: -1}, &answer)
-	if diff := cmp.Diff([]string{"end=1"}, values(answer)); err != nil || diff != "" {
+	var reply ReadReply
+	err := nodecall.Call(context.Background(), serveNode(t, memory, &Peers{}), "Store.Read", ReadRequest{Topic: store.TopicQuarantine, From: -1}, &reply)
+	if diff := cmp.Diff([]string{"end=1"}, values(reply)); err != nil || diff != "" {
 		t.Errorf("%v: %s", err, diff)
 	}
 }
--- a/internal/storeproxy/put.go
+++ b/internal/storeproxy/put.go
@@ -9,31 +9,31 @@
 	"dalehook/internal/store"
 )
 
-// Addition asks for records to be added to a keyed topic of the product.
-type Addition struct {
+// PutRequest is a request to append records to a keyed topic that the nodes own.
+type PutRequest struct {
 	Topic   store.Topic
 	Records []store.Record
 }
 
 const methodPut = serviceName + ".Put"
 
-// Put adds records for another node.
-func (s *service) Put(addition Addition, outcome *Outcome) error {
-	if addition.Topic != store.TopicQuarantine {
-		return eris.Errorf("topic %s is not added to for other nodes", addition.Topic)
+// Put appends records on behalf of another node.
+func (s *service) Put(request PutRequest, outcome *Outcome) error {
+	if request.Topic != store.TopicQuarantine {
+		return eris.Errorf("topic %s is not writable by way of other nodes", request.Topic)
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), readTimeout)
 	defer cancel()
-	if err := s.proxy.log.PutKeyed(ctx, addition.Topic, addition.Records); err != nil {
-		*outcome = s.proxy.failed()
+	if err := s.proxy.log.PutKeyed(ctx, request.Topic, request.Records); err != nil {
+		*outcome = s.proxy.failedOutcome()
 	}
 	return nil
 }
 
-// Put has other nodes add records, one after the other until one can.
-func Put(ctx context.Context, peers *Peers, addition Addition) error {
-	return peers.each(ctx, func(ctx context.Context, address string) (outcome Outcome, err error) {
-		err = nodecall.Call(ctx, address, methodPut, addition, &outcome)
+// PutVia asks other nodes to append records, one after another until one succeeds.
+func PutVia(ctx context.Context, peers *Peers, request PutRequest) error {
+	return peers.tryEach(ctx, func(ctx context.Context, address string) (outcome Outcome, err error) {
+		err = nodecall.Call(ctx, address, methodPut, request, &outcome)
 		return outcome, err
 	})
 }
--- a/internal/storeproxy/storeproxy.go
+++ b/internal/storeproxy/storeproxy.go
@@ -1,6 +1,6 @@
-// Package storeproxy lets a node that the store turns away read keyed topics by way of another
-// node, and add to those that are the product's own. A store may refuse some machines while it
-// serves all others.
+// Package storeproxy lets a node whose calls the store refuses use the store by way of another
+// node: it can read keyed topics, and append to the ones that the nodes own. A store may refuse some
+// machines while it serves all others.
 package storeproxy
 
 import (
@@ -22,182 +22,187 @@
 )
 
 const (
-	// readTimeout bounds the read that a node makes for another.
+	// readTimeout bounds a call to the store on behalf of another node.
 	readTimeout = 600 * time.Millisecond
-	// freshFor is how long an answer is given again: hundreds of nodes may ask at once.
-	freshFor = 200 * time.Millisecond
-	// askTimeout bounds the asking of one node, above readTimeout.
-	askTimeout = 800 * time.Millisecond
-	// mostPeers is how many nodes are remembered: the ones that coordinated last.
-	mostPeers = 4
+	// cacheTTL is how long a reply is reused, since hundreds of nodes may ask at once.
+	cacheTTL = 200 * time.Millisecond
+	// callTimeout bounds the call to one node. It exceeds readTimeout.
+	callTimeout = 800 * time.Millisecond
+	// maxPeers is the number of addresses that Peers keeps: those of the latest coordinators.
+	maxPeers = 4
 )
 
-// Question asks for the records of a keyed topic.
-type Question struct {
-	// Topic is that of the operator unless it is told.
+// ReadRequest is a request for the records of a keyed topic.
+type ReadRequest struct {
+	// Topic is the topic to read; builds that do not send it read the operator's topic, the zero
+	// value.
 	Topic store.Topic
-	// From is the offset to read on from; below 0 the newest record of each key is asked for.
+	// From is the offset to read from; a negative one requests the newest record of each key.
 	From int64
 }
 
-// Answer holds the records.
-type Answer struct {
+// ReadReply holds the requested records.
+type ReadReply struct {
 	Records []store.Record
-	// Whole says that the records are the newest of each key, not what came after From.
+	// Whole is set if Records are the newest records of each key instead of the records from From
+	// on.
 	Whole bool
-	// Next is the offset after what was read.
+	// Next is the offset after the last record read.
 	Next int64
-	// Age is how long before this answer the store was asked. A node that does not tell is
-	// taken to have asked it just then.
+	// Age is the time from the read of the store to this reply. From a node that does not send it
+	// it is zero.
 	Age time.Duration
-	// Failed and Peer are an Outcome.
+	// Failed and Peer are those of an Outcome.
 	Failed bool
 	Peer   string
 }
 
-// Outcome says whether a node could do what it was asked for.
+// Outcome reports whether a node could carry out a request.
 type Outcome struct {
-	// Failed says that the store turned this node away as well; Peer is where a node answers
-	// that could when it was last heard of, empty for none.
+	// Failed is set if the call of this node to the store failed as well. Peer is then the address
+	// of another node that could reach the store when it was last heard of; empty for none.
 	Failed bool
 	Peer   string
 }
 
-// Peers remembers where other nodes answer. It may be used by several goroutines.
+// Peers keeps the addresses of other nodes that can reach the store, most recent first. It is safe
+// for concurrent use.
 type Peers struct {
 	mutex     sync.Mutex
 	addresses []string
 }
 
-// Note remembers an address as the last that was heard of.
-func (p *Peers) Note(address string) {
+// Add makes an address the most recent one.
+func (p *Peers) Add(address string) {
 	if address == "" {
 		return
 	}
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	known := slices.DeleteFunc(p.addresses, func(other string) bool { return other == address })
-	p.addresses = append([]string{address}, known...)
-	p.addresses = p.addresses[:min(len(p.addresses), mostPeers)]
+	others := slices.DeleteFunc(p.addresses, func(other string) bool { return other == address })
+	p.addresses = append([]string{address}, others...)
+	p.addresses = p.addresses[:min(len(p.addresses), maxPeers)]
 }
 
-// Known returns the addresses, the last that was heard of first.
-func (p *Peers) Known() []string {
+// Addresses returns the addresses, most recent first.
+func (p *Peers) Addresses() []string {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return slices.Clone(p.addresses)
 }
 
-// The calls of the service.
+// Names of the RPC service and its methods.
 const (
 	serviceName = "Store"
-	// methodRead reads any topic at nodes of this build. Earlier ones do not know that a question may name
-	// one, and answer with the operator's records.
+	// methodRead reads any topic at nodes of this build. Earlier builds ignore the topic of a request
+	// and reply with the operator's records.
 	methodRead = serviceName + ".Read"
-	// methodReadTopic is the same under a name that they do not have, so that they say so.
+	// methodReadTopic is methodRead under a name that earlier builds do not have, so that they
+	// return an error instead.
 	methodReadTopic = serviceName + ".ReadTopic"
 )
 
-// Proxy reads the store for other nodes. It may be used by several goroutines.
+// Proxy reads the store on behalf of other nodes. It is safe for concurrent use.
 type Proxy struct {
 	log   store.Log
 	peers *Peers
 
-	// reads are those under way, by the question: nodes that ask for the same share one.
-	reads singleflight.Group
+	// inFlight holds the reads in progress, by request, so that concurrent equal requests share one.
+	inFlight singleflight.Group
 
-	mutex  sync.Mutex
-	latest map[Question]latestRead
+	mutex sync.Mutex
+	cache map[ReadRequest]cachedReply
 }
 
-type latestRead struct {
-	answer Answer
-	// askedAt is when the store was asked, at when it had answered.
-	askedAt, at time.Time
+type cachedReply struct {
+	reply ReadReply
+	// requestedAt is when the read of the store began, cachedAt when it ended.
+	requestedAt, cachedAt time.Time
 }
 
-// aged returns the answer with its age.
-func (r latestRead) aged() Answer {
-	answer := r.answer
-	answer.Age = clock.Since(r.askedAt)
-	return answer
+// withAge returns the reply with its current age.
+func (r cachedReply) withAge() ReadReply {
+	reply := r.reply
+	reply.Age = clock.Since(r.requestedAt)
+	return reply
 }
 
-// NewProxy returns a proxy to a store. Peers are told to the nodes that it can not help.
+// NewProxy returns a proxy to a store. When the store fails its calls, it refers callers to the
+// most recent of the peers.
 func NewProxy(log store.Log, peers *Peers) *Proxy {
-	return &Proxy{log: log, peers: peers, latest: make(map[Question]latestRead)}
+	return &Proxy{log: log, peers: peers, cache: make(map[ReadRequest]cachedReply)}
 }
 
 type service struct{ proxy *Proxy }
 
-// Register has a server read the store for other nodes.
+// Register adds the service to a server, so that other nodes can use the store through this one.
 func Register(server *rpc.Server, proxy *Proxy) error {
-	return eris.Wrap(server.RegisterName(serviceName, &service{proxy: proxy}), "register the reading for other nodes")
+	return eris.Wrap(server.RegisterName(serviceName, &service{proxy: proxy}), "register the store service")
 }
 
-// Read reads a keyed topic for another node.
-func (s *service) Read(question Question, answer *Answer) error {
-	*answer = s.proxy.Read(question)
+// Read reads a keyed topic on behalf of another node.
+func (s *service) Read(request ReadRequest, reply *ReadReply) error {
+	*reply = s.proxy.Read(request)
 	return nil
 }
 
-// ReadTopic is Read.
-func (s *service) ReadTopic(question Question, answer *Answer) error { return s.Read(question, answer) }
+// ReadTopic is Read under a name that earlier builds do not have.
+func (s *service) ReadTopic(req ReadRequest, reply *ReadReply) error { return s.Read(req, reply) }
 
-// Read answers a question from the store, or from what was read of it just before.
-func (p *Proxy) Read(question Question) Answer {
-	if answer, fresh := p.fresh(question); fresh {
-		return answer
+// Read replies to a request from the cache, or else from the store.
+func (p *Proxy) Read(request ReadRequest) ReadReply {
+	if reply, fresh := p.cachedRead(request); fresh {
+		return reply
 	}
-	shared, _, _ := p.reads.Do(fmt.Sprint(question.Topic, question.From), func() (any, error) {
-		askedAt := clock.Now()
-		latest := latestRead{answer: p.readNow(question), askedAt: askedAt, at: clock.Now()}
-		p.note(question, latest)
-		return latest, nil
+	shared, _, _ := p.inFlight.Do(fmt.Sprint(request.Topic, request.From), func() (any, error) {
+		requestedAt := clock.Now()
+		cached := cachedReply{reply: p.readStore(request), requestedAt: requestedAt, cachedAt: clock.Now()}
+		p.cacheRead(request, cached)
+		return cached, nil
 	})
-	return shared.(latestRead).aged()
+	return shared.(cachedReply).withAge()
 }
 
-func (p *Proxy) fresh(question Question) (answer Answer, fresh bool) {
+func (p *Proxy) cachedRead(request ReadRequest) (reply ReadReply, fresh bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	latest := p.latest[question]
-	return latest.aged(), clock.Since(latest.at) < freshFor
+	cached := p.cache[request]
+	return cached.withAge(), clock.Since(cached.cachedAt) < cacheTTL
 }
 
-// note remembers an answer, and forgets the others that are no longer fresh.
-func (p *Proxy) note(question Question, latest latestRead) {
+// cacheRead caches a reply and removes the expired ones.
+func (p *Proxy) cacheRead(request ReadRequest, cached cachedReply) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	maps.DeleteFunc(p.latest, func(_ Question, read latestRead) bool { return latest.at.Sub(read.at) >= freshFor })
-	p.latest[question] = latest
+	maps.DeleteFunc(p.cache, func(_ ReadRequest, read cachedReply) bool { return cached.cachedAt.Sub(read.cachedAt) >= cacheTTL })
+	p.cache[request] = cached
 }
 
-func (p *Proxy) readNow(question Question) Answer {
+func (p *Proxy) readStore(request ReadRequest) ReadReply {
 	ctx, cancel := context.WithTimeout(context.Background(), readTimeout)
 	defer cancel()
-	var answer Answer
-	if err := read(ctx, p.log, question, &answer); err == nil {
-		return answer
+	var reply ReadReply
+	if err := readTopic(ctx, p.log, request, &reply); err == nil {
+		return reply
 	}
-	outcome := p.failed()
-	return Answer{Failed: outcome.Failed, Peer: outcome.Peer}
+	outcome := p.failedOutcome()
+	return ReadReply{Failed: outcome.Failed, Peer: outcome.Peer}
 }
 
-// failed says that the store turned this node away, and where another one answers.
-func (p *Proxy) failed() Outcome {
+// failedOutcome returns the outcome of a failed call to the store, with the most recent peer.
+func (p *Proxy) failedOutcome() Outcome {
 	outcome := Outcome{Failed: true}
-	if known := p.peers.Known(); len(known) > 0 {
-		outcome.Peer = known[0]
+	if addresses := p.peers.Addresses(); len(addresses) > 0 {
+		outcome.Peer = addresses[0]
 	}
 	return outcome
 }
 
-func read(ctx context.Context, log store.Log, question Question, answer *Answer) error {
-	if question.From >= 0 {
-		batch, err := log.Read(ctx, store.Partition{Topic: question.Topic}, question.From, 0)
+func readTopic(ctx context.Context, log store.Log, request ReadRequest, reply *ReadReply) error {
+	if request.From >= 0 {
+		batch, err := log.Read(ctx, store.Partition{Topic: request.Topic}, request.From, 0)
 		if err == nil {
-			answer.Records, answer.Next = batch.Records, batch.Next
+			reply.Records, reply.Next = batch.Records, batch.Next
 			return nil
 		}
 		var trimmed *store.TrimmedError
@@ -205,66 +210,66 @@
 			return err
 		}
 	}
-	records, end, err := log.Newest(ctx, question.Topic)
-	answer.Records, answer.Next, answer.Whole = records, end, true
+	records, end, err := log.Newest(ctx, request.Topic)
+	reply.Records, reply.Next, reply.Whole = records, end, true
 	return err
 }
 
-var errNobody = errors.New("no other node reads the store")
+var errNoReader = errors.New("no other node reads the store")
 
-// Call asks the node at an address.
-type Call func(ctx context.Context, address string, question Question) (Answer, error)
+// CallFunc sends a read request to the node at an address.
+type CallFunc func(ctx context.Context, address string, request ReadRequest) (ReadReply, error)
 
-// Ask has other nodes read the store, one after the other until one can.
-func Ask(ctx context.Context, peers *Peers, question Question) (Answer, error) {
-	return AskBy(ctx, CallNode, peers, question)
+// ReadVia asks other nodes to read the store, one after another until one succeeds.
+func ReadVia(ctx context.Context, peers *Peers, request ReadRequest) (ReadReply, error) {
+	return ReadViaFunc(ctx, CallNode, peers, request)
 }
 
-// AskBy is Ask by a way of calling nodes.
-func AskBy(ctx context.Context, call Call, peers *Peers, question Question) (answer Answer, err error) {
-	err = peers.each(ctx, func(ctx context.Context, address string) (Outcome, error) {
-		given, err := call(ctx, address, question)
-		answer = given
-		return Outcome{Failed: given.Failed, Peer: given.Peer}, err
+// ReadViaFunc is ReadVia with a function that calls the nodes.
+func ReadViaFunc(ctx context.Context, call CallFunc, peers *Peers, request ReadRequest) (reply ReadReply, err error) {
+	err = peers.tryEach(ctx, func(ctx context.Context, address string) (Outcome, error) {
+		received, err := call(ctx, address, request)
+		reply = received
+		return Outcome{Failed: received.Failed, Peer: received.Peer}, err
 	})
-	return answer, err
+	return reply, err
 }
 
-// each has nodes do something, one after the other until one can. A node that can not may name
-// one that could; that one is next.
-func (p *Peers) each(ctx context.Context, do func(ctx context.Context, address string) (Outcome, error)) error {
-	asked := make(map[string]bool)
-	failure := errNobody
-	addresses := p.Known()
+// tryEach calls ask for the addresses, one after another until one succeeds. If a node that failed
+// names another peer, that peer is tried next.
+func (p *Peers) tryEach(ctx context.Context, ask func(ctx context.Context, address string) (Outcome, error)) error {
+	tried := make(map[string]bool)
+	lastErr := errNoReader
+	addresses := p.Addresses()
 	for len(addresses) > 0 {
 		address := addresses[0]
 		addresses = addresses[1:]
-		if asked[address] {
+		if tried[address] {
 			continue
 		}
-		asked[address] = true
-		call, cancel := context.WithTimeout(ctx, askTimeout)
-		outcome, err := do(call, address)
+		tried[address] = true
+		callCtx, cancel := context.WithTimeout(ctx, callTimeout)
+		outcome, err := ask(callCtx, address)
 		cancel()
 		switch {
 		case err != nil:
-			failure = err
+			lastErr = err
 		case outcome.Failed && outcome.Peer != "":
 			addresses = append([]string{outcome.Peer}, addresses...)
 		case !outcome.Failed:
-			p.Note(address)
+			p.Add(address)
 			return nil
 		}
 	}
-	return failure
+	return lastErr
 }
 
-// CallNode is the Call of nodes on the network.
-func CallNode(ctx context.Context, address string, question Question) (answer Answer, err error) {
+// CallNode is the CallFunc that calls nodes over the network.
+func CallNode(ctx context.Context, address string, request ReadRequest) (reply ReadReply, err error) {
 	method := methodRead
-	if question.Topic != store.TopicOperator {
+	if request.Topic != store.TopicOperator {
 		method = methodReadTopic
 	}
-	err = nodecall.Call(ctx, address, method, question, &answer)
-	return answer, err
+	err = nodecall.Call(ctx, address, method, request, &reply)
+	return reply, err
 }
--- a/internal/storeproxy/storeproxy_test.go
+++ b/internal/storeproxy/storeproxy_test.go
@@ -16,8 +16,8 @@
 	"dalehook/internal/store/storetest"
 )
 
-// node answers for a store; it returns where.
-func node(t *testing.T, log store.Log, peers *Peers) string {
+// serveNode serves a proxy to a store and returns its address.
+func serveNode(t *testing.T, log store.Log, peers *Peers) string {
 	t.Helper()
 	return nodecalltest.Serve(t, func(server *rpc.Server) error { return Register(server, NewProxy(log, peers)) })
 }
@@ -30,18 +30,18 @@
 	return memory
 }
 
-func values(answer Answer) []string {
+func values(reply ReadReply) []string {
 	var values []string
-	for _, record := range answer.Records {
+	for _, record := range reply.Records {
 		values = append(values, record.Key+"="+string(record.Value))
 	}
 	return values
 }
 
-func TestAnotherNodeReads(t *testing.T) {
+func TestReadViaAnotherNode(t *testing.T) {
 	memory := operatorLog()
 	peers := &Peers{}
-	peers.Note(node(t, memory, &Peers{}))
+	peers.Add(serveNode(t, memory, &Peers{}))
 	cases := []struct {
 		name   string
 		from   int64
@@ -49,65 +49,65 @@
 		want   []string
 		whole  bool
 	}{
-		{"what came since", 1, 0, []string{"config=2", "version/m=3"}, false},
-		{"nothing came since", 3, 0, nil, false},
-		{"all that is newest", -1, 0, []string{"config=2", "version/m=3"}, true},
-		{"what is gone", 0, 2, []string{"config=2", "version/m=3"}, true},
+		{"records from an offset", 1, 0, []string{"config=2", "version/m=3"}, false},
+		{"no records from an offset", 3, 0, nil, false},
+		{"newest records", -1, 0, []string{"config=2", "version/m=3"}, true},
+		{"trimmed offset", 0, 2, []string{"config=2", "version/m=3"}, true},
 	}
 	for _, c := range cases {
 		memory.Compact(store.Partition{Topic: store.TopicOperator}, c.forget)
-		time.Sleep(freshFor)
-		answer, err := Ask(context.Background(), peers, Question{From: c.from})
-		if diff := cmp.Diff(c.want, values(answer)); diff != "" || err != nil || answer.Whole != c.whole || answer.Next != 3 {
-			t.Errorf("%s: whole %v, next %d, %v: %s", c.name, answer.Whole, answer.Next, err, diff)
+		time.Sleep(cacheTTL)
+		reply, err := ReadVia(context.Background(), peers, ReadRequest{From: c.from})
+		if diff := cmp.Diff(c.want, values(reply)); diff != "" || err != nil || reply.Whole != c.whole || reply.Next != 3 {
+			t.Errorf("%s: whole %v, next %d, %v: %s", c.name, reply.Whole, reply.Next, err, diff)
 		}
 	}
 }
 
-// A coordinator that the store turned away names the node that asked it to yield.
-func TestANodeThatCanNotReadNamesAnother(t *testing.T) {
-	turnedAway := storetest.NewMemory()
-	turnedAway.SetFault(storetest.FaultRefuse)
+// A coordinator whose calls the store refuses names the node that asked it to yield.
+func TestFailedNodeNamesAnotherPeer(t *testing.T) {
+	refusingLog := storetest.NewMemory()
+	refusingLog.SetFault(storetest.FaultRefuse)
 	others := &Peers{}
-	others.Note(node(t, operatorLog(), &Peers{}))
+	others.Add(serveNode(t, operatorLog(), &Peers{}))
 	peers := &Peers{}
-	peers.Note(node(t, turnedAway, others))
-	answer, err := Ask(context.Background(), peers, Question{From: 2})
-	if err != nil || len(answer.Records) != 1 {
-		t.Fatalf("answer %+v, %v", answer, err)
+	peers.Add(serveNode(t, refusingLog, others))
+	reply, err := ReadVia(context.Background(), peers, ReadRequest{From: 2})
+	if err != nil || len(reply.Records) != 1 {
+		t.Fatalf("reply %+v, %v", reply, err)
 	}
-	if diff := cmp.Diff(others.Known()[0], peers.Known()[0]); diff != "" {
-		t.Errorf("the node that helped is not the first to be asked next time: %s", diff)
+	if diff := cmp.Diff(others.Addresses()[0], peers.Addresses()[0]); diff != "" {
+		t.Errorf("the node that succeeded is not the most recent peer: %s", diff)
 	}
 }
 
-// countedLog counts the reads that begin, and takes a while for each.
-type countedLog struct {
+// slowCountingLog counts the reads that begin, and takes 100 ms for each.
+type slowCountingLog struct {
 	store.Log
 	reads atomic.Int64
 }
 
-func (c *countedLog) Read(ctx context.Context, at store.Partition, from int64, wait time.Duration) (store.Batch, error) {
+func (c *slowCountingLog) Read(ctx context.Context, at store.Partition, from int64, wait time.Duration) (store.Batch, error) {
 	c.reads.Add(1)
 	time.Sleep(100 * time.Millisecond)
 	return c.Log.Read(ctx, at, from, wait)
 }
 
-// Hundreds of nodes may be turned away at once; the store is read once for all of them.
-func TestNodesShareARead(t *testing.T) {
+// The store may refuse hundreds of nodes at once; the proxy reads the store once for all of them.
+func TestConcurrentReadsAreShared(t *testing.T) {
 	for _, fault := range []storetest.Fault{storetest.FaultNone, storetest.FaultRefuse} {
 		synctest.Test(t, func(t *testing.T) {
 			memory := operatorLog()
 			memory.SetFault(fault)
-			log := &countedLog{Log: memory}
+			log := &slowCountingLog{Log: memory}
 			proxy := NewProxy(log, &Peers{})
 			var asking sync.WaitGroup
 			for range 100 {
 				asking.Add(1)
 				go func() {
 					defer asking.Done()
-					if answer := proxy.Read(Question{From: 1}); answer.Failed != (fault != storetest.FaultNone) {
-						t.Errorf("answer %+v", answer)
+					if reply := proxy.Read(ReadRequest{From: 1}); reply.Failed != (fault != storetest.FaultNone) {
+						t.Errorf("reply %+v", reply)
 					}
 				}()
 			}
@@ -115,58 +115,58 @@
 			if got := log.reads.Load(); got != 1 {
 				t.Errorf("%d reads for 100 nodes", got)
 			}
-			time.Sleep(freshFor)
-			proxy.Read(Question{From: 1})
+			time.Sleep(cacheTTL)
+			proxy.Read(ReadRequest{From: 1})
 			if got := log.reads.Load(); got != 2 {
-				t.Errorf("%d reads once the first was old", got)
+				t.Errorf("%d reads after the first reply had expired", got)
 			}
 		})
 	}
 }
 
-func TestNobodyCanRead(t *testing.T) {
-	if _, err := Ask(context.Background(), &Peers{}, Question{}); err == nil {
-		t.Error("an answer from nobody")
+func TestReadFailsWithoutAReader(t *testing.T) {
+	if _, err := ReadVia(context.Background(), &Peers{}, ReadRequest{}); err == nil {
+		t.Error("a reply without any peer")
 	}
-	turnedAway := storetest.NewMemory()
-	turnedAway.SetFault(storetest.FaultRefuse)
+	refusingLog := storetest.NewMemory()
+	refusingLog.SetFault(storetest.FaultRefuse)
 	first, second := &Peers{}, &Peers{}
-	a, b := node(t, turnedAway, first), node(t, turnedAway, second)
-	first.Note(b)
-	second.Note(a)
+	a, b := serveNode(t, refusingLog, first), serveNode(t, refusingLog, second)
+	first.Add(b)
+	second.Add(a)
 	peers := &Peers{}
-	peers.Note(a)
-	if _, err := Ask(context.Background(), peers, Question{}); err == nil {
-		t.Error("an answer of nodes that can not read")
+	peers.Add(a)
+	if _, err := ReadVia(context.Background(), peers, ReadRequest{}); err == nil {
+		t.Error("a reply although no peer can read the store")
 	}
 }
 
-func TestOnlyTheLastPeersAreRemembered(t *testing.T) {
+func TestOnlyLatestPeersAreKept(t *testing.T) {
 	peers := &Peers{}
 	for _, address := range []string{"", "1", "2", "3", "2", "4", "5"} {
-		peers.Note(address)
+		peers.Add(address)
 	}
-	if diff := cmp.Diff([]string{"5", "4", "2", "3"}, peers.Known()); diff != "" {
+	if diff := cmp.Diff([]string{"5", "4", "2", "3"}, peers.Addresses()); diff != "" {
 		t.Error(diff)
 	}
 }
 
-// An answer tells how long ago the store was asked, also one that is given again or shared.
-func TestAnAnswerTellsItsAge(t *testing.T) {
+// A reply contains the time since the read of the store, also if it is cached or shared.
+func TestReplyContainsItsAge(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		proxy := NewProxy(&countedLog{Log: operatorLog()}, &Peers{})
-		const readTakes = 100 * time.Millisecond // by countedLog
-		if age := proxy.Read(Question{From: 1}).Age; age != readTakes {
+		proxy := NewProxy(&slowCountingLog{Log: operatorLog()}, &Peers{})
+		const readDuration = 100 * time.Millisecond // by slowCountingLog
+		if age := proxy.Read(ReadRequest{From: 1}).Age; age != readDuration {
 			t.Errorf("read: %v", age)
 		}
-		time.Sleep(freshFor / 2)
-		if age := proxy.Read(Question{From: 1}).Age; age != readTakes+freshFor/2 {
-			t.Errorf("given again: %v", age)
+		time.Sleep(cacheTTL / 2)
+		if age := proxy.Read(ReadRequest{From: 1}).Age; age != readDuration+cacheTTL/2 {
+			t.Errorf("cached: %v", age)
 		}
-		time.Sleep(freshFor)
-		go proxy.Read(Question{From: 1})
-		time.Sleep(readTakes / 4)
-		if age := proxy.Read(Question{From: 1}).Age; age != readTakes {
+		time.Sleep(cacheTTL)
+		go proxy.Read(ReadRequest{From: 1})
+		time.Sleep(readDuration / 4)
+		if age := proxy.Read(ReadRequest{From: 1}).Age; age != readDuration {
 			t.Errorf("shared: %v", age)
 		}
 	})
