--- a/internal/drain/conn.go
+++ b/internal/drain/conn.go
@@ -10,68 +10,70 @@
 	"time"
 )
 
-// conn is a caller's connection. It rests while nothing of a request has been read since the
-// last answer, or at all. Only its reader ends it, and only while it rests: a drain bounds the
-// read of a connection that rests, and the read looks once more before it gives up.
+// conn is a client's connection. It is idle until the first byte of a request was read, and again
+// after each response until the first byte of the next request was read. Only the goroutine that
+// reads it closes it, and only while it is idle: a drain sets a read deadline on an idle
+// connection, and the read checks once more for data before it gives up.
 type conn struct {
 	net.Conn
 	server *Server
 
 	mutex    sync.Mutex
 	draining bool
-	// busy says that a request is under way: its head was read, its answer is not written.
-	busy bool
-	// begun says that something of the next request was read.
-	begun bool
-	// answered says that requests were answered, and restBounded that net/http has bounded
-	// the rest since.
-	answered, restBounded bool
-	// since is when the connection was accepted, or last came to rest.
-	since time.Time
-	// deadline is the one that net/http has set for reads; overridden says that another one
-	// holds instead.
-	deadline   time.Time
-	overridden bool
+	// active is set while a request is in progress: its header was read, and its response is not
+	// written yet.
+	active bool
+	// nextBegun is set once a part of the next request was read.
+	nextBegun bool
+	// responded is set after the first response, and idleDeadlineSet once net/http has set the read
+	// deadline of the idle time after the last response.
+	responded, idleDeadlineSet bool
+	// idleSince is when the connection was accepted or last became idle.
+	idleSince time.Time
+	// httpDeadline is the read deadline that net/http has set; deadlineOverridden is set while
+	// another one is in force.
+	httpDeadline       time.Time
+	deadlineOverridden bool
 }
 
-// setState takes what net/http says of the connection.
+// setState processes a state change reported by net/http.
 func (c *conn) setState(state http.ConnState) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	switch state {
 	case http.StateActive:
-		c.busy, c.begun = true, false
+		c.active, c.nextBegun = true, false
 	case http.StateIdle:
-		c.busy, c.answered, c.restBounded = false, true, false
-		c.since = time.Now()
+		c.active, c.responded, c.idleDeadlineSet = false, true, false
+		c.idleSince = time.Now()
 	}
 }
 
-func (c *conn) resting() bool {
+func (c *conn) isIdle() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return c.restingLocked()
+	return c.isIdleLocked()
 }
 
-func (c *conn) restingLocked() bool { return !c.busy && !c.begun }
+func (c *conn) isIdleLocked() bool { return !c.active && !c.nextBegun }
 
-// drain bounds the rest of the connection.
+// drain limits the idle time of the connection.
 func (c *conn) drain() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.draining = true
-	// It fails only at a closed connection.
-	_ = c.boundLocked()
+	// It fails only on a closed connection.
+	_ = c.applyDeadlineLocked()
 }
 
-// boundLocked puts the deadline of reads in force: net/http's, or the end of the rest where
-// that is earlier.
-func (c *conn) boundLocked() error {
-	deadline := c.deadline
-	restEnd := c.since.Add(restTime)
-	c.overridden = c.draining && c.restingLocked() && (deadline.IsZero() || restEnd.Before(deadline))
-	if c.overridden {
-		deadline = restEnd
+// applyDeadlineLocked sets the read deadline to net/http's, or to the end of the idle grace period
+// if that is earlier and the connection is draining and idle.
+func (c *conn) applyDeadlineLocked() error {
+	deadline := c.httpDeadline
+	idleEnd := c.idleSince.Add(idleGracePeriod)
+	c.deadlineOverridden = c.draining && c.isIdleLocked() && (deadline.IsZero() || idleEnd.Before(deadline))
+	if c.deadlineOverridden {
+		deadline = idleEnd
 	}
 	return c.Conn.SetReadDeadline(deadline)
 }
@@ -80,19 +82,20 @@
 func (c *conn) SetReadDeadline(deadline time.Time) error {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.noteBoundLocked()
-	c.deadline = deadline
-	return c.boundLocked()
+	c.noteDeadlineLocked()
+	c.httpDeadline = deadline
+	return c.applyDeadlineLocked()
 }
 
-// noteBoundLocked notes that net/http bounds a read. After an answer it does so once for the
-// rest, and again when it holds bytes of the next request, also ones that came with the last.
-func (c *conn) noteBoundLocked() {
-	if c.busy || !c.answered {
+// noteDeadlineLocked derives from a read deadline set by net/http whether the next request has
+// begun. After a response net/http sets one deadline for the idle time, and a further one once it
+// has bytes of the next request, including bytes that arrived together with the last one.
+func (c *conn) noteDeadlineLocked() {
+	if c.active || !c.responded {
 		return
 	}
-	c.begun = c.begun || c.restBounded
-	c.restBounded = true
+	c.nextBegun = c.nextBegun || c.idleDeadlineSet
+	c.idleDeadlineSet = true
 }
 
 // SetDeadline implements net.Conn.
@@ -111,48 +114,49 @@
 		if !errors.Is(err, os.ErrDeadlineExceeded) {
 			return n, err
 		}
-		if again, err := c.handleExpired(err); !again {
+		if retry, err := c.handleTimeout(err); !retry {
 			return 0, err
 		}
 	}
 }
 
-// watchSize is the size of the read by which net/http watches a connection while a handler
-// runs. What it finds belongs to the next request.
-const watchSize = 1
+// backgroundReadSize is the size of net/http's background read on a connection while a handler
+// runs. A byte that it reads belongs to the next request.
+const backgroundReadSize = 1
 
-// noteRead notes that a read of a size found something.
+// noteRead records that a read with a buffer of the given size returned data.
 func (c *conn) noteRead(size int) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if !c.busy || size == watchSize {
-		c.begun = true
+	if !c.active || size == backgroundReadSize {
+		c.nextBegun = true
 	}
-	if c.overridden {
-		// It fails only at a closed connection, whose next read says so.
-		_ = c.boundLocked()
+	if c.deadlineOverridden {
+		// It fails only on a closed connection; the next read returns the error.
+		_ = c.applyDeadlineLocked()
 	}
 }
 
-// handleExpired decides on a read whose deadline has passed: it goes on if something has
-// arrived, or ends the connection if that rests in a drain.
-func (c *conn) handleExpired(expired error) (again bool, err error) {
+// handleTimeout decides about a read whose deadline has passed: it is retried if data has arrived,
+// and the connection is closed if it is draining and idle.
+func (c *conn) handleTimeout(timeoutErr error) (retry bool, err error) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if !c.restingLocked() {
-		if !c.overridden {
-			return false, expired
+	if !c.isIdleLocked() {
+		if !c.deadlineOverridden {
+			return false, timeoutErr
 		}
-		return true, c.boundLocked()
+		return true, c.applyDeadlineLocked()
 	}
 	if readable(c.Conn) {
-		c.overridden = true
+		c.deadlineOverridden = true
 		return true, c.Conn.SetReadDeadline(time.Time{})
 	}
-	if !c.overridden {
-		return false, expired
+	if !c.deadlineOverridden {
+		return false, timeoutErr
 	}
-	// Closed right here: whatever comes later finds a closed connection, not an unread one.
+	// Close at once, so that data that arrives from now on meets a closed connection instead of
+	// staying unread in an open one.
 	c.Conn.Close()
 	return false, io.EOF
 }
@@ -160,15 +164,15 @@
 // Close implements net.Conn.
 func (c *conn) Close() error {
 	err := c.Conn.Close()
-	c.server.remove(c)
+	c.server.untrack(c)
 	return err
 }
 
-// CloseWrite tells the caller that nothing more is written. net/http does so, and waits, before
-// it closes under a caller that is still sending.
+// CloseWrite closes the writing side of the connection. net/http calls it, and waits, before it
+// closes a connection whose client is still sending.
 func (c *conn) CloseWrite() error {
-	if half, ok := c.Conn.(interface{ CloseWrite() error }); ok {
-		return half.CloseWrite()
+	if closer, ok := c.Conn.(interface{ CloseWrite() error }); ok {
+		return closer.CloseWrite()
 	}
 	return nil
 }
--- a/internal/drain/drain.go
+++ b/internal/drain/drain.go
@@ -1,12 +1,12 @@
-// Package drain ends an HTTP/1.1 server without cutting what its callers have sent.
+// Package drain shuts an HTTP/1.1 server down without dropping requests that clients have sent.
 //
-// net/http's own Shutdown closes every connection that counts as idle, and one counts as idle
-// until the whole head of its next request was parsed: a request that has arrived, or was read
-// in part, is closed under its caller. Here a connection is ended only by the goroutine that
-// reads it, after a last look whether anything has arrived. From Leave on, answers say that
-// they are their connection's last, so that callers move on by themselves; from Drain on, no
-// connection is accepted once those that wait were, connections that rest are ended, and what
-// is under way is waited for. What lasts too long is told to end, so that it is answered.
+// The Shutdown method of net/http closes every connection in the idle state, and a connection is in
+// that state until the header of its next request was parsed completely. A request that has arrived
+// unread, or was read in part, is thereby lost. In this package only the goroutine that reads a
+// connection closes it, after a last check for arrived data. After DisableKeepAlives, responses
+// carry "Connection: close", so that clients move to other servers. A Drain accepts the pending
+// connections and then closes the listener, closes idle connections, and waits for requests in
+// progress. When its time is up, it cancels their contexts so that their handlers still respond.
 package drain
 
 import (
@@ -24,51 +24,52 @@
 	"golang.org/x/sys/unix"
 )
 
-// restTime is how long a connection must have rested before it is ended: a caller that has
-// just connected, or just read an answer, is likely to send.
-const restTime = 250 * time.Millisecond
+// idleGracePeriod is how long a connection must have been idle before a drain closes it: a client
+// that has just connected, or has just read a response, is likely to send a request.
+const idleGracePeriod = 250 * time.Millisecond
 
-// lastAnswerTime is how long handlers that were told to end have for their answers.
-const lastAnswerTime = 200 * time.Millisecond
+// finalResponseTimeout is how long handlers have for their responses after their contexts were
+// canceled.
+const finalResponseTimeout = 200 * time.Millisecond
 
-// ErrTimeUp is the cause of the end of a request's context once a drain has no more time.
-var ErrTimeUp = errors.New("the server has no more time")
+// ErrDrainTimeout is the cancellation cause of a request's context when a drain's time is up.
+var ErrDrainTimeout = errors.New("the server has no more time")
 
-// acceptTime bounds the accepting of a connection that waits, should it be gone by then.
-const acceptTime = 100 * time.Millisecond
+// acceptTimeout bounds the accept of a pending connection, which may be gone by then.
+const acceptTimeout = 100 * time.Millisecond
 
 // Options configure a Server.
 type Options struct {
-	// HTTP serves the connections. Its handler and BaseContext are wrapped and its ConnState is
-	// taken; it is served and ended by this package alone.
+	// HTTP serves the connections. The package wraps its Handler and BaseContext, replaces its
+	// ConnState, and is the only one to start and stop it.
 	HTTP *http.Server
 }
 
-// Server serves an HTTP server's connections and keeps account of them. Its methods may be
-// called by several goroutines.
+// Server serves and tracks the connections of an HTTP server. It is safe for concurrent use.
 type Server struct {
-	http    *http.Server
-	leaving atomic.Bool
-	// ended is closed once no connection is accepted any more.
-	ended chan struct{}
+	http               *http.Server
+	keepAlivesDisabled atomic.Bool
+	// acceptEnded is closed once no more connections are accepted.
+	acceptEnded chan struct{}
 
 	mutex    sync.Mutex
 	listener net.Listener
-	// endRequests ends the contexts of all requests; nil before Serve.
-	endRequests context.CancelCauseFunc
-	draining    bool
-	conns       map[*conn]struct{}
-	// gone is closed and replaced each time a connection has ended; it wakes all that drain.
-	gone chan struct{}
+	// cancelRequests cancels the contexts of all requests; nil before Serve.
+	cancelRequests context.CancelCauseFunc
+	draining       bool
+	conns          map[*conn]struct{}
+	// connClosed is closed and replaced whenever a connection was closed; that wakes all
+	// concurrent drains.
+	connClosed chan struct{}
 }
 
-// NewServer returns a server that accepts nothing yet.
+// NewServer returns a server that does not accept connections yet.
 func NewServer(options Options) *Server {
 	s := &Server{
-		http: options.HTTP, ended: make(chan struct{}), conns: make(map[*conn]struct{}), gone: make(chan struct{}),
+		http: options.HTTP, acceptEnded: make(chan struct{}), conns: make(map[*conn]struct{}), connClosed: make(chan struct{}),
 	}
-	s.http.Handler = s.closing(s.http.Handler)
-	s.http.BaseContext = s.ending(s.http.BaseContext)
+	s.http.Handler = s.withConnectionClose(s.http.Handler)
+	s.http.BaseContext = s.withCancellation(s.http.BaseContext)
 	s.http.ConnState = func(accepted net.Conn, state http.ConnState) {
 		if c, ok := accepted.(*conn); ok {
 			c.setState(state)
@@ -77,105 +78,107 @@
 	return s
 }
 
-// closing has a handler's answers say, once the server leaves, that they are their
-// connection's last.
-func (s *Server) closing(handler http.Handler) http.Handler {
+// withConnectionClose wraps a handler so that its responses carry "Connection: close" once
+// keep-alives are disabled.
+func (s *Server) withConnectionClose(handler http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if s.leaving.Load() {
+		if s.keepAlivesDisabled.Load() {
 			w.Header().Set("Connection", "close")
 		}
 		handler.ServeHTTP(w, r)
 	})
 }
 
-// ending gives requests contexts that the server can end. The parent may be nil.
-func (s *Server) ending(parent func(net.Listener) context.Context) func(net.Listener) context.Context {
+// withCancellation wraps a BaseContext function, which may be nil, so that the server can cancel the
+// contexts of requests.
+func (s *Server) withCancellation(parent func(net.Listener) context.Context) func(net.Listener) context.Context {
 	return func(listener net.Listener) context.Context {
 		base := context.Background()
 		if parent != nil {
 			base = parent(listener)
 		}
-		ctx, end := context.WithCancelCause(base)
+		ctx, cancel := context.WithCancelCause(base)
 		s.mutex.Lock()
 		defer s.mutex.Unlock()
-		s.endRequests = end
+		s.cancelRequests = cancel
 		return ctx
 	}
 }
 
-// Serve serves the connections of a listener, once in the life of a server. It returns nil
-// once a Drain or a Close has ended it, and closes the listener.
+// Serve serves the connections of a listener until a Drain or Close, and then returns nil. It closes
+// the listener. It may be called only once.
 func (s *Server) Serve(listener net.Listener) error {
-	defer close(s.ended)
+	defer close(s.acceptEnded)
 	s.mutex.Lock()
 	s.listener = listener
 	s.mutex.Unlock()
-	err := s.http.Serve(&acceptor{Listener: listener, server: s})
+	err := s.http.Serve(&trackingListener{Listener: listener, server: s})
 	if errors.Is(err, http.ErrServerClosed) || errors.Is(err, errDrained) {
 		return nil
 	}
 	return eris.Wrap(err, "accept connections")
 }
 
-// Leave has answers say from now on that they are their connection's last.
-func (s *Server) Leave() { s.leaving.Store(true) }
+// DisableKeepAlives makes each response from now on the last one of its connection.
+func (s *Server) DisableKeepAlives() { s.keepAlivesDisabled.Store(true) }
 
-// Drain leaves, accepts what waits to be accepted, and ends connections as soon as they rest.
-// It returns when no connection is left. When the context ends before, it ends the contexts of
-// all requests, with the cause ErrTimeUp, gives their handlers a moment for an answer, and
-// closes what is left; late is the number of connections that had a request by then, in part or
-// whole.
-func (s *Server) Drain(ctx context.Context) (late int) {
-	s.Leave()
+// Drain disables keep-alives, accepts the pending connections and closes connections as soon as they
+// have been idle for the grace period. It returns when no connection is left. If the context ends
+// first, it cancels the contexts of all requests with the cause ErrDrainTimeout, gives their handlers
+// a moment to respond, and closes the remaining connections; unfinished is the number of connections
+// that had a complete or partial request at that time.
+func (s *Server) Drain(ctx context.Context) (unfinished int) {
+	s.DisableKeepAlives()
 	for _, c := range s.beginDrain() {
 		c.drain()
 	}
-	if s.awaitEnd(ctx) {
+	if s.awaitNoConns(ctx) {
 		return 0
 	}
-	late = s.requests()
-	s.tellToEnd()
-	last, cancel := context.WithTimeout(context.WithoutCancel(ctx), lastAnswerTime)
+	unfinished = s.activeConns()
+	s.cancelAllRequests()
+	finalCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), finalResponseTimeout)
 	defer cancel()
-	s.awaitEnd(last)
+	s.awaitNoConns(finalCtx)
 	s.Close()
-	return late
+	return unfinished
 }
 
-// awaitEnd waits until no connection is left; it returns false when the context ends before.
-func (s *Server) awaitEnd(ctx context.Context) bool {
-	accepting := s.ended
+// awaitNoConns waits until no connection is accepted any more and none is left. It returns false if
+// the context ends first.
+func (s *Server) awaitNoConns(ctx context.Context) bool {
+	acceptEnded := s.acceptEnded
 	for {
-		open, gone := s.open()
-		if accepting == nil && open == 0 {
+		open, connClosed := s.openConns()
+		if acceptEnded == nil && open == 0 {
 			return true
 		}
 		select {
-		case <-accepting:
-			accepting = nil
-		case <-gone:
+		case <-acceptEnded:
+			acceptEnded = nil
+		case <-connClosed:
 		case <-ctx.Done():
 			return false
 		}
 	}
 }
 
-// tellToEnd ends the contexts of all requests.
-func (s *Server) tellToEnd() {
+// cancelAllRequests cancels the contexts of all requests.
+func (s *Server) cancelAllRequests() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if s.endRequests != nil {
-		s.endRequests(ErrTimeUp)
+	if s.cancelRequests != nil {
+		s.cancelRequests(ErrDrainTimeout)
 	}
 }
 
-// beginDrain wakes whoever waits for a connection, and returns the open ones.
+// beginDrain interrupts a waiting accept and returns the open connections.
 func (s *Server) beginDrain() []*conn {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.draining = true
 	if s.listener != nil {
-		wake(s.listener)
+		interruptAccept(s.listener)
 	}
 	open := make([]*conn, 0, len(s.conns))
 	for c := range s.conns {
@@ -184,12 +187,12 @@
 	return open
 }
 
-// requests returns how many connections have a request.
-func (s *Server) requests() (count int) {
+// activeConns returns the number of connections with a complete or partial request.
+func (s *Server) activeConns() (count int) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	for c := range s.conns {
-		if !c.resting() {
+		if !c.isIdle() {
 			count++
 		}
 	}
@@ -198,21 +201,22 @@
 
 // Close closes the listener and all connections at once.
 func (s *Server) Close() {
-	// What the listener has to say at its end helps nobody.
+	// An error of closing the listener is of no use to the caller.
 	_ = s.http.Close()
 }
 
-// open returns the number of connections, and what is closed when one of them has ended.
-func (s *Server) open() (count int, gone <-chan struct{}) {
+// openConns returns the number of open connections and a channel that is closed when one of them is
+// closed.
+func (s *Server) openConns() (count int, connClosed <-chan struct{}) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return len(s.conns), s.gone
+	return len(s.conns), s.connClosed
 }
 
-// add takes account of a connection. One that comes in the midst of a drain rests first like
-// any other.
-func (s *Server) add(accepted net.Conn) *conn {
-	c := &conn{Conn: accepted, server: s, since: time.Now()}
+// track adds an accepted connection. One accepted during a drain has the idle grace period like any
+// other.
+func (s *Server) track(accepted net.Conn) *conn {
+	c := &conn{Conn: accepted, server: s, idleSince: time.Now()}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.conns[c] = struct{}{}
@@ -220,40 +224,41 @@
 	return c
 }
 
-func (s *Server) remove(c *conn) {
+func (s *Server) untrack(c *conn) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	delete(s.conns, c)
-	close(s.gone)
-	s.gone = make(chan struct{})
+	close(s.connClosed)
+	s.connClosed = make(chan struct{})
 }
 
-// errDrained ends the accepting of connections.
+// errDrained ends the accept loop of net/http.
 var errDrained = errors.New("the server is drained")
 
-// acceptor is a listener whose connections a server keeps account of.
-type acceptor struct {
+// trackingListener is a listener whose connections a Server tracks.
+type trackingListener struct {
 	net.Listener
 	server *Server
 }
 
-// Accept implements net.Listener. Once the server drains, it accepts what waits.
-func (a *acceptor) Accept() (net.Conn, error) {
+// Accept implements net.Listener. During a drain it accepts only pending connections and then closes
+// the listener.
+func (l *trackingListener) Accept() (net.Conn, error) {
 	for {
-		if a.drained() {
-			if !readable(a.Listener) {
-				a.Listener.Close()
+		if l.isDraining() {
+			if !readable(l.Listener) {
+				l.Listener.Close()
 				return nil, errDrained
 			}
-			setDeadline(a.Listener, time.Now().Add(acceptTime))
+			setDeadline(l.Listener, time.Now().Add(acceptTimeout))
 		}
-		accepted, err := a.Listener.Accept()
+		accepted, err := l.Listener.Accept()
 		if err == nil {
-			return a.server.add(accepted), nil
+			return l.server.track(accepted), nil
 		}
 		switch {
 		case errors.Is(err, os.ErrDeadlineExceeded):
-		case errors.Is(err, net.ErrClosed) && a.drained():
+		case errors.Is(err, net.ErrClosed) && l.isDraining():
 			return nil, errDrained
 		default:
 			return nil, err
@@ -261,48 +266,49 @@
 	}
 }
 
-func (a *acceptor) drained() bool {
-	a.server.mutex.Lock()
-	defer a.server.mutex.Unlock()
-	return a.server.draining
+func (l *trackingListener) isDraining() bool {
+	l.server.mutex.Lock()
+	defer l.server.mutex.Unlock()
+	return l.server.draining
 }
 
-// longAgo is a deadline that ends what waits.
-var longAgo = time.Unix(1, 0)
+// pastDeadline is a deadline that interrupts a waiting call.
+var pastDeadline = time.Unix(1, 0)
 
-// wake ends a listener's wait for a connection; one that can not be woken is closed.
-func wake(listener net.Listener) {
-	if !setDeadline(listener, longAgo) {
+// interruptAccept interrupts a listener's waiting accept. A listener without deadlines is closed
+// instead.
+func interruptAccept(listener net.Listener) {
+	if !setDeadline(listener, pastDeadline) {
 		listener.Close()
 	}
 }
 
-// setDeadline bounds a listener's wait, if it knows deadlines.
-func setDeadline(listener net.Listener, at time.Time) (known bool) {
-	bounded, known := listener.(interface{ SetDeadline(time.Time) error })
-	if known {
-		// It fails only at a closed listener, which waits no more.
-		_ = bounded.SetDeadline(at)
+// setDeadline sets the accept deadline of a listener if it supports deadlines.
+func setDeadline(listener net.Listener, deadline time.Time) (supported bool) {
+	deadliner, supported := listener.(interface{ SetDeadline(time.Time) error })
+	if supported {
+		// It fails only on a closed listener, whose accept does not wait.
+		_ = deadliner.SetDeadline(deadline)
 	}
-	return known
+	return supported
 }
 
-// readable says whether a read, or an accept, of a socket would find something. It waits for
-// nothing, whatever the socket's deadline. What is no socket has nothing.
+// readable reports whether a read from a socket, or an accept on it, would return at once. It does
+// not block and ignores the socket's deadline. It returns false for anything but a socket.
 func readable(socket any) bool {
-	system, ok := socket.(syscall.Conn)
+	conn, ok := socket.(syscall.Conn)
 	if !ok {
 		return false
 	}
-	raw, err := system.SyscallConn()
+	raw, err := conn.SyscallConn()
 	if err != nil {
 		return false // closed
 	}
 	found := false
 	err = raw.Control(func(descriptor uintptr) {
-		polled := []unix.PollFd{{Fd: int32(descriptor), Events: unix.POLLIN}}
+		fds := []unix.PollFd{{Fd: int32(descriptor), Events: unix.POLLIN}}
 		for {
-			count, err := unix.Poll(polled, 0)
+			count, err := unix.Poll(fds, 0)
 			if !errors.Is(err, unix.EINTR) {
 				found = err == nil && count > 0
 				return
--- a/internal/frontend/append_test.go
+++ b/internal/frontend/append_test.go
@@ -32,7 +32,7 @@
 		// least and most bound the time from the start to the verdict.
 		least, most time.Duration
 	}{
-		{"the drain deadline expires", drain.ErrTimeUp, 0, requestLifetime + lastAnswerTime},
+		{"the drain deadline expires", drain.ErrDrainTimeout, 0, requestLifetime + lastAnswerTime},
 		{"the caller disconnects", context.Canceled, appendTimeout, appendTimeout},
 	}
 	for _, c := range cases {
--- a/internal/frontend/node.go
+++ b/internal/frontend/node.go
@@ -348,7 +348,7 @@
 func (n *Node) drainAll(servers []boundServer) {
 	deadline := time.Now().Add(time.Duration(n.options.Settings.GraceSeconds*float64(time.Second)) - exitReserve)
 	for _, s := range servers {
-		s.server.Leave()
+		s.server.DisableKeepAlives()
 	}
 	time.Sleep(drainNotice)
 	ctx, cancel := context.WithDeadline(context.Background(), deadline)
--- a/internal/frontend/service.go
+++ b/internal/frontend/service.go
@@ -143,7 +143,7 @@
 	call, cancel := context.WithTimeout(context.WithoutCancel(ctx), appendTimeout)
 	defer cancel()
 	stop := context.AfterFunc(ctx, func() {
-		if errors.Is(context.Cause(ctx), drain.ErrTimeUp) {
+		if errors.Is(context.Cause(ctx), drain.ErrDrainTimeout) {
 			cancel()
 		}
 	})
