--- a/cmd/dalehook/failure_load_test.go
+++ b/cmd/dalehook/failure_load_test.go
@@ -162,7 +162,7 @@
 		sample := record.Sample{ID: fmt.Sprintf("s-%02d", i), MaxTokens: maxTokens, Group: fmt.Sprintf("%s-%d", name, i/4)}
 		for take := 0; ; take++ {
 			sample.Prompt = fmt.Sprintf("Hearing %s, speaker %d, take %d.", sample.Group, i, take)
-			if length := standin.AnswerLength(sample.Prompt, maxTokens); length >= least && length <= most {
+			if length := standin.CompletionLength(sample.Prompt, maxTokens); length >= least && length <= most {
 				break
 			}
 		}
@@ -309,7 +309,7 @@
 		}
 		return outcomeUnknown, fmt.Sprintf("status %d: %s", answer.Status, answer.Body)
 	}
-	var echo standin.ServiceAnswer
+	var echo standin.ServiceResponse
 	if err := json.Unmarshal(answer.Body, &echo); err != nil {
 		return outcomeUnknown, "broken answer " + string(answer.Body)
 	}
--- a/cmd/dalehook/failure_stop_test.go
+++ b/cmd/dalehook/failure_stop_test.go
@@ -107,7 +107,7 @@
 	w.t.Helper()
 	sample := o.l.makeStep(0).Samples[longEvery-1]
 	sample.Prompt, sample.Group = o.at.id+sample.Prompt, ""
-	for standin.AnswerLength(sample.Prompt, maxTokens) < maxTokens {
+	for standin.CompletionLength(sample.Prompt, maxTokens) < maxTokens {
 		sample.Prompt += "."
 	}
 	step := client.Step{Event: testEvent, Trainer: "captions", Step: "poll-" + o.at.id, Samples: []record.Sample{sample}}
--- a/internal/standin/background.go
+++ b/internal/standin/background.go
@@ -7,7 +7,7 @@
 	"github.com/sourcegraph/conc"
 )
 
-// background holds a stand-in's goroutines. Their context ends with close.
+// background manages a stand-in's goroutines. close cancels their context.
 type background struct {
 	ctx    context.Context
 	cancel context.CancelFunc
@@ -22,7 +22,7 @@
 	return &background{ctx: ctx, cancel: cancel}
 }
 
-// run starts a goroutine, unless the stand-in is closed.
+// run starts a goroutine unless the stand-in is closed.
 func (b *background) run(task func()) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -31,7 +31,7 @@
 	}
 }
 
-// close ends the context and waits for all goroutines.
+// close cancels the context and waits for all goroutines.
 func (b *background) close() {
 	b.mu.Lock()
 	b.closed = true
--- a/internal/standin/batch.go
+++ b/internal/standin/batch.go
@@ -8,11 +8,11 @@
 	"dalehook/internal/backend"
 )
 
-// cachedPrefillShare is the part of a prompt's prefill that a cached prefix
-// leaves to be done.
-const cachedPrefillShare = 0.2
+// cachedPrefillFraction is the fraction of the prefill time that remains when
+// the prompt's prefix is cached.
+const cachedPrefillFraction = 0.2
 
-// generationQueue orders waiting requests: higher priority first, then by
+// generationQueue orders waiting requests by descending priority, then by
 // arrival. It implements heap.Interface.
 type generationQueue []*generation
 
@@ -22,7 +22,7 @@
 	if q[i].request.Priority != q[j].request.Priority {
 		return q[i].request.Priority > q[j].request.Priority
 	}
-	return q[i].arrival < q[j].arrival
+	return q[i].sequence < q[j].sequence
 }
 
 func (q generationQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
@@ -38,10 +38,10 @@
 	return last
 }
 
-// runBatches steps the batch until the engine is closed.
+// runBatches runs batch steps until the engine is closed.
 func (e *Engine) runBatches() {
 	for e.background.ctx.Err() == nil {
-		duration, busy := e.beginStep()
+		duration, busy := e.startStep()
 		if !busy {
 			e.waitForWork()
 			continue
@@ -49,10 +49,10 @@
 		if !sleep(e.background.ctx, duration, nil) {
 			return
 		}
-		if !e.faults.waitOver(e.background.ctx, FaultFreeze) {
+		if !e.faults.awaitEnd(e.background.ctx, FaultFreeze) {
 			return
 		}
-		e.endStep(duration)
+		e.finishStep(duration)
 	}
 }
 
@@ -63,32 +63,34 @@
 	}
 }
 
-// beginStep fills the batch and returns the time that the next chunk takes.
-func (e *Engine) beginStep() (duration time.Duration, busy bool) {
+// startStep fills the batch from the queue and returns the duration of the next
+// step, which produces one chunk for each stream.
+func (e *Engine) startStep() (duration time.Duration, busy bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.sweepLocked()
 	if e.pausedLocked() {
 		e.tokensPerSecond = 0
-		e.noteReportLocked()
+		e.recordReportLocked()
 		return 0, false
 	}
 	for len(e.batch) < e.options.Slots && len(e.queue) > 0 {
-		e.startLocked(heap.Pop(&e.queue).(*generation))
+		e.addToBatchLocked(heap.Pop(&e.queue).(*generation))
 	}
 	if len(e.batch) == 0 {
 		e.tokensPerSecond = 0
 	}
-	e.noteReportLocked()
+	e.recordReportLocked()
 	return e.stepTimeLocked(), len(e.batch) > 0
 }
 
-// pausedLocked reports whether nothing may be generated now.
+// pausedLocked reports whether generation is paused because no version is loaded
+// or a swap is in progress.
 func (e *Engine) pausedLocked() bool {
 	return e.version == 0 || e.load != nil && e.load.swapping
 }
 
-// stepTimeLocked is the time of one chunk; it grows with the batch.
+// stepTimeLocked returns the duration of one step; it grows with the batch size.
 func (e *Engine) stepTimeLocked() time.Duration {
 	perToken := float64(e.options.TokenTime) * (1 + e.options.BatchCost*float64(len(e.batch)-1))
 	if slow := e.faults.level(FaultSlow); slow > 0 {
@@ -97,18 +99,19 @@
 	return time.Duration(perToken * float64(e.options.ChunkTokens))
 }
 
-// startLocked takes a request into the batch.
-func (e *Engine) startLocked(g *generation) {
+// addToBatchLocked moves a request into the batch.
+func (e *Engine) addToBatchLocked(g *generation) {
 	g.prefill = e.prefillLocked(g.request)
 	g.setState(generationRunning)
-	if !g.begun {
-		g.begun = true
+	if !g.started {
+		g.started = true
 		e.counts[g.request.RequestID]++
 	}
 	e.batch = append(e.batch, g)
 }
 
-// prefillLocked is the time before a request's first token.
+// prefillLocked returns the prefill time of a request, zero if its KV cache is
+// imported.
 func (e *Engine) prefillLocked(request backend.CompletionRequest) time.Duration {
 	if request.ImportKV == kvHandle(request.Prompt) {
 		return 0
@@ -118,15 +121,15 @@
 	if request.Group == "" {
 		return prefill
 	}
-	if e.cache.use(time.Now(), request.Group, tokens) {
-		return time.Duration(float64(prefill) * cachedPrefillShare)
+	if e.cache.touch(time.Now(), request.Group, tokens) {
+		return time.Duration(float64(prefill) * cachedPrefillFraction)
 	}
 	return prefill
 }
 
-// endStep adds a chunk to each stream of the batch, unless a swap has begun
-// meanwhile. The tokens bear the version that is loaded now.
-func (e *Engine) endStep(duration time.Duration) {
+// finishStep adds a chunk to each stream of the batch, unless a swap started
+// during the step. The tokens carry the version that is loaded now.
+func (e *Engine) finishStep(duration time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.pausedLocked() {
@@ -155,10 +158,11 @@
 
 func isNotRunning(g *generation) bool { return g.state != generationRunning }
 
-// sweepLocked pauses requests that nobody reads any more and forgets old ones.
+// sweepLocked pauses unfinished requests without readers after DetachGrace and
+// deletes other requests after KeepTime.
 func (e *Engine) sweepLocked() {
 	now := time.Now()
-	for id, g := range e.known {
+	for id, g := range e.generations {
 		idle := now.Sub(g.idleSince)
 		if g.readers > 0 {
 			continue
@@ -167,19 +171,19 @@
 			g.setState(generationPaused)
 		}
 		if !isUnfinished(g) && idle > e.options.KeepTime {
-			delete(e.known, id)
+			delete(e.generations, id)
 		}
 	}
 	e.batch = slices.DeleteFunc(e.batch, isNotRunning)
-	e.dropFromQueueLocked()
+	e.pruneQueueLocked()
 }
 
 func isUnfinished(g *generation) bool {
 	return g.state == generationWaiting || g.state == generationRunning
 }
 
-// dropFromQueueLocked takes out what no longer waits.
-func (e *Engine) dropFromQueueLocked() {
+// pruneQueueLocked removes requests that are no longer waiting.
+func (e *Engine) pruneQueueLocked() {
 	e.queue = slices.DeleteFunc(e.queue, func(g *generation) bool { return g.state != generationWaiting })
 	heap.Init(&e.queue)
 }
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -14,45 +14,47 @@
 
 // EngineOptions configure an Engine. Zero values take the defaults.
 type EngineOptions struct {
-	// Machine is the engine's line on the machine list: id, pool, zone, region
-	// and the address at which it is reached. Kind and State are set by NewEngine.
+	// Machine is the engine's entry in the machine list: id, pool, zone, region
+	// and address. NewEngine sets Kind and State.
 	Machine cluster.Machine
-	// Server, when set, goes down during a crash; otherwise the handler drops
+	// Server, if set, goes down during a crash; otherwise the handler drops
 	// each connection.
 	Server *Server
 	// Dial opens connections to the platform; nil means TCP.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
-	// PlatformURL is where the engine registers, empty for nowhere.
+	// PlatformURL is the base URL of the platform at which the engine registers;
+	// if empty, it doesn't register.
 	PlatformURL string
-	// WeightsURL is the weight store's base URL; empty means that each version
-	// is at hand.
+	// WeightsURL is the weight store's base URL; if empty, every version is
+	// available without a fetch.
 	WeightsURL string
-	// Model and Version are loaded at the start; version zero means none.
+	// Model and Version are loaded at startup; version zero means none.
 	Model   cluster.ModelName
 	Version cluster.Version
-	// Slots is the largest number of streams in a batch, QueueLimit that of
+	// Slots is the maximum number of streams in a batch, QueueLimit that of
 	// waiting requests.
 	Slots      int
 	QueueLimit int
-	// TokenTime is the time of one token of a stream that is alone in the
-	// batch. Each further stream adds BatchCost of it.
+	// TokenTime is the time per token for a stream that is alone in the batch.
+	// Each additional stream adds BatchCost times TokenTime.
 	TokenTime time.Duration
 	BatchCost float64
 	// ChunkTokens is the number of tokens in one chunk.
 	ChunkTokens int
-	// PrefillTokenTime is the time that one token of the prompt takes.
+	// PrefillTokenTime is the prefill time per prompt token.
 	PrefillTokenTime time.Duration
-	// CacheGroups is the number of prefix groups that the cache holds.
+	// CacheGroups is the capacity of the prefix cache in prefix groups.
 	CacheGroups int
-	// SwapTime is how long a load stops generation, after the weights were
-	// fetched.
+	// SwapTime is how long a load pauses generation once the weights are fetched.
 	SwapTime time.Duration
-	// ReportLag is the age of what GET /load says; EventLag that of cache events.
+	// ReportLag is the age of the reports that GET /load returns; EventLag is the
+	// age of cache events.
 	ReportLag time.Duration
 	EventLag  time.Duration
-	// DetachGrace is how long a request goes on whose stream was closed.
+	// DetachGrace is how long generation continues after a request's stream is
+	// closed.
 	DetachGrace time.Duration
-	// KeepTime is how long a finished answer can be read again.
+	// KeepTime is how long a finished completion can be read again.
 	KeepTime time.Duration
 }
 
@@ -70,7 +72,7 @@
 	DefaultKeepTime         = 2 * time.Minute
 )
 
-// kvTokensPerSlot sizes the cache memory that an engine reports.
+// kvTokensPerSlot determines the KV cache capacity that an engine reports.
 const kvTokensPerSlot = 4096
 
 func (o EngineOptions) withDefaults() EngineOptions {
@@ -84,7 +86,7 @@
 	setDefault(&o.SwapTime, DefaultSwapTime)
 	setDefault(&o.DetachGrace, DefaultDetachGrace)
 	setDefault(&o.KeepTime, DefaultKeepTime)
-	o.Machine = describe(o.Machine, cluster.KindEngine)
+	o.Machine = completeMachine(o.Machine, cluster.KindEngine)
 	return o
 }
 
@@ -94,36 +96,36 @@
 	}
 }
 
-// Engine stands in for a model engine.
+// Engine simulates a model engine.
 type Engine struct {
 	options    EngineOptions
 	faults     *faults
 	registrar  *registrar
 	weights    *platform.Client
 	background *background
-	// wake tells the batch loop that there may be work.
+	// wake signals the batch loop that there may be work.
 	wake chan struct{}
 
-	mu       sync.Mutex
-	known    map[string]*generation
-	queue    generationQueue
-	batch    []*generation
-	arrivals uint64
-	counts   map[string]int
-	cache    prefixCache
-	model    cluster.ModelName
-	version  cluster.Version
-	load     *load
-	// loadError and lastFence are what the report says of orders.
+	mu           sync.Mutex
+	generations  map[string]*generation
+	queue        generationQueue
+	batch        []*generation
+	lastSequence uint64
+	counts       map[string]int
+	cache        prefixCache
+	model        cluster.ModelName
+	version      cluster.Version
+	load         *load
+	// loadError and lastFence describe the last load order in reports.
 	loadError string
 	lastFence machine.Fence
 	leaving   bool
-	// tokensPerSecond is the output of the batch's last step.
+	// tokensPerSecond is the throughput of the last batch step.
 	tokensPerSecond float64
-	reports         delayed[backend.LoadReport]
+	reports         delayedValue[backend.LoadReport]
 }
 
-// NewEngine returns an engine that has begun to run.
+// NewEngine starts an engine.
 func NewEngine(options EngineOptions) *Engine {
 	options = options.withDefaults()
 	e := &Engine{
@@ -138,27 +140,27 @@
 			FaultSwapWrong: faultCounted,
 			FaultReportLag: faultLevel,
 		}),
-		registrar:  newRegistrar(platform.Options{LogURL: options.PlatformURL, Dial: options.Dial}, options.Machine),
-		background: newBackground(),
-		wake:       make(chan struct{}, 1),
-		known:      make(map[string]*generation),
-		counts:     make(map[string]int),
-		cache:      prefixCache{limit: options.CacheGroups},
-		model:      options.Model,
-		version:    options.Version,
+		registrar:   newRegistrar(platform.Options{LogURL: options.PlatformURL, Dial: options.Dial}, options.Machine),
+		background:  newBackground(),
+		wake:        make(chan struct{}, 1),
+		generations: make(map[string]*generation),
+		counts:      make(map[string]int),
+		cache:       prefixCache{maxGroups: options.CacheGroups},
+		model:       options.Model,
+		version:     options.Version,
 	}
 	if options.WeightsURL != "" {
 		e.weights = platform.NewClient(platform.Options{LogURL: options.WeightsURL, Dial: options.Dial})
 	}
 	e.faults.values[FaultReportLag] = float64(options.ReportLag.Milliseconds())
-	e.faults.onSet = e.faultSet
-	e.noteReportLocked()
+	e.faults.onSet = e.onFaultSet
+	e.recordReportLocked()
 	e.background.run(e.runBatches)
 	e.background.run(func() { e.registrar.register(e.background.ctx, cluster.StateLive) })
 	return e
 }
 
-// Close stops the engine and breaks its streams.
+// Close stops the engine and aborts its streams.
 func (e *Engine) Close() {
 	e.background.close()
 	e.registrar.close()
@@ -167,36 +169,36 @@
 	}
 }
 
-// faultSet reacts to faults that act at once.
-func (e *Engine) faultSet(name FaultName, value float64) {
+// onFaultSet wakes the batch loop and applies a crash immediately.
+func (e *Engine) onFaultSet(name FaultName, value float64) {
 	e.signal()
 	if name != FaultCrash || value == 0 {
 		return
 	}
 	e.mu.Lock()
-	e.forgetAllLocked()
+	e.resetLocked()
 	e.mu.Unlock()
 	e.background.run(func() { crashServer(e.background.ctx, e.options.Server, e.faults) })
 }
 
-// forgetAllLocked loses what a crash takes: requests, cache and weights. The
-// fence stays, as if the engine's supervisor kept it.
-func (e *Engine) forgetAllLocked() {
-	e.loseRequestsLocked()
-	e.stopLoadLocked()
+// resetLocked discards the state that a crash loses: requests, cache and
+// weights. The fence is kept, as if the engine's supervisor had stored it.
+func (e *Engine) resetLocked() {
+	e.dropRequestsLocked()
+	e.cancelLoadLocked()
 	e.model = e.options.Model
 	e.version = e.options.Version
 }
 
-// loseRequestsLocked breaks all streams and empties the cache.
-func (e *Engine) loseRequestsLocked() {
-	for _, g := range e.known {
-		g.setState(generationLost)
+// dropRequestsLocked aborts all streams and clears the cache.
+func (e *Engine) dropRequestsLocked() {
+	for _, g := range e.generations {
+		g.setState(generationAborted)
 	}
-	clear(e.known)
+	clear(e.generations)
 	e.queue = nil
 	e.batch = nil
-	e.cache = prefixCache{limit: e.options.CacheGroups}
+	e.cache = prefixCache{maxGroups: e.options.CacheGroups}
 }
 
 // signal wakes the batch loop.
@@ -207,7 +209,7 @@
 	}
 }
 
-// reportLocked says how the engine stands now.
+// reportLocked returns the current load report.
 func (e *Engine) reportLocked() backend.LoadReport {
 	report := backend.LoadReport{
 		Leaving:         e.leaving,
@@ -231,9 +233,10 @@
 	return report
 }
 
-// noteReportLocked keeps the report of now and returns the one that shows.
-func (e *Engine) noteReportLocked() backend.LoadReport {
+// recordReportLocked records the current report and returns the report that is
+// visible after the report lag.
+func (e *Engine) recordReportLocked() backend.LoadReport {
 	now := time.Now()
-	e.reports.put(now, e.reportLocked())
+	e.reports.set(now, e.reportLocked())
 	return e.reports.get(now, e.faults.milliseconds(FaultReportLag))
 }
--- a/internal/standin/engine_http.go
+++ b/internal/standin/engine_http.go
@@ -14,7 +14,7 @@
 	"dalehook/internal/cluster"
 )
 
-// busyRetryAfter is the time to come back that a full engine states.
+// busyRetryAfter is the Retry-After value of an engine that rejects work.
 const busyRetryAfter = 500 * time.Millisecond
 
 // Handler returns the engine's HTTP interface.
@@ -44,8 +44,8 @@
 func (e *Engine) getLoad(w http.ResponseWriter, _ *http.Request) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	report := e.noteReportLocked()
-	// An engine that leaves says so at once; the rest lags.
+	report := e.recordReportLocked()
+	// Leaving is reported without the report lag.
 	report.Leaving = e.leaving
 	writeJSON(w, http.StatusOK, report)
 }
@@ -74,7 +74,7 @@
 		badRequest("the order names no action load, model and version").write(w)
 		return
 	}
-	if e.judgeOrder(order) {
+	if e.acceptOrder(order) {
 		w.WriteHeader(http.StatusAccepted)
 		return
 	}
@@ -90,7 +90,7 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	g, ok := e.known[export.RequestID]
+	g, ok := e.generations[export.RequestID]
 	if !ok {
 		unknownRequest().write(w)
 		return
@@ -103,21 +103,21 @@
 	return fmt.Sprintf("kv-%016x", xxhash.Sum64String(prompt))
 }
 
-func unknownRequest() *refusal {
-	return &refusal{status: http.StatusNotFound, code: "unknown_request", message: "no such request"}
+func unknownRequest() *errorResponse {
+	return &errorResponse{status: http.StatusNotFound, code: "unknown_request", message: "no such request"}
 }
 
 func (e *Engine) deleteCompletion(w http.ResponseWriter, r *http.Request) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	id := r.URL.Query().Get("request_id")
-	g, ok := e.known[id]
+	g, ok := e.generations[id]
 	if !ok {
 		unknownRequest().write(w)
 		return
 	}
-	g.setState(generationLost)
-	delete(e.known, id)
+	g.setState(generationAborted)
+	delete(e.generations, id)
 	w.WriteHeader(http.StatusNoContent)
 }
 
@@ -130,12 +130,12 @@
 		badRequest("request_id, stream and max_tokens are needed").write(w)
 		return
 	}
-	g, refused := e.join(request)
-	if refused != nil {
-		refused.write(w)
+	g, rejection := e.attach(request)
+	if rejection != nil {
+		rejection.write(w)
 		return
 	}
-	defer e.leave(g)
+	defer e.detach(g)
 	e.stream(w, r, g, resumeOffset(request))
 }
 
@@ -146,31 +146,30 @@
 	return request.Resume.TokenOffset
 }
 
-// join attaches a reader to a request that the engine knows, or takes a new one
-// into the queue.
-func (e *Engine) join(request backend.CompletionRequest) (*generation, *refusal) {
+// attach attaches a reader to an existing generation, or enqueues a new one.
+func (e *Engine) attach(request backend.CompletionRequest) (*generation, *errorResponse) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	defer e.signal()
-	known, ok := e.known[request.RequestID]
-	if ok && !known.isFor(request) {
-		return nil, &refusal{status: http.StatusConflict, code: "request_conflict", message: "the request id stands for another prompt"}
+	existing, ok := e.generations[request.RequestID]
+	if ok && !existing.matches(request) {
+		return nil, &errorResponse{status: http.StatusConflict, code: "request_conflict", message: "the request id stands for another prompt"}
 	}
-	if ok && known.holds(resumeOffset(request)) {
-		e.rejoinLocked(known)
-		return known, nil
+	if ok && existing.canResumeFrom(resumeOffset(request)) {
+		e.reattachLocked(existing)
+		return existing, nil
 	}
-	if refused := e.refusesLocked(request); refused != nil {
-		return nil, refused
+	if rejection := e.checkAdmissionLocked(request); rejection != nil {
+		return nil, rejection
 	}
 	if ok {
-		known.setState(generationLost)
+		existing.setState(generationAborted)
 	}
 	return e.enqueueLocked(request), nil
 }
 
-// rejoinLocked attaches a reader; a paused request goes into the queue again.
-func (e *Engine) rejoinLocked(g *generation) {
+// reattachLocked attaches a reader and requeues a paused generation.
+func (e *Engine) reattachLocked(g *generation) {
 	g.readers++
 	if g.state == generationPaused {
 		g.setState(generationWaiting)
@@ -179,21 +178,22 @@
 }
 
 func (e *Engine) enqueueLocked(request backend.CompletionRequest) *generation {
-	e.arrivals++
-	g := newGeneration(request, e.arrivals)
+	e.lastSequence++
+	g := newGeneration(request, e.lastSequence)
 	g.readers = 1
-	if e.faults.take(FaultCutStream) {
-		g.cutAt = (g.first + g.length) / 2
+	if e.faults.consume(FaultCutStream) {
+		g.breakAt = (g.startOffset + g.length) / 2
 	}
-	e.known[request.RequestID] = g
+	e.generations[request.RequestID] = g
 	heap.Push(&e.queue, g)
 	return g
 }
 
-// refusesLocked says why a new request is not taken, nil when it is.
-func (e *Engine) refusesLocked(request backend.CompletionRequest) *refusal {
-	busy := func(code, message string) *refusal {
-		return &refusal{
+// checkAdmissionLocked returns the error response for a new request that is
+// rejected, or nil if the request is admitted.
+func (e *Engine) checkAdmissionLocked(request backend.CompletionRequest) *errorResponse {
+	busy := func(code, message string) *errorResponse {
+		return &errorResponse{
 			status:     http.StatusServiceUnavailable,
 			code:       code,
 			message:    message,
@@ -208,56 +208,58 @@
 	case e.version == 0:
 		return busy("no_weights", "no version is loaded")
 	case request.Model != "" && request.Model != e.model:
-		return &refusal{status: http.StatusConflict, code: "wrong_model", message: "another model is loaded"}
+		return &errorResponse{status: http.StatusConflict, code: "wrong_model", message: "another model is loaded"}
 	case len(e.queue) >= e.options.QueueLimit:
 		return busy("busy", "the queue is full")
 	}
-	return refusesResume(request)
+	return checkResume(request)
 }
 
-// refusesResume checks that a resume by text goes on from the right tokens.
-func refusesResume(request backend.CompletionRequest) *refusal {
+// checkResume checks that the text of a resume matches the completion up to the
+// resume offset.
+func checkResume(request backend.CompletionRequest) *errorResponse {
 	if request.Resume == nil || request.Resume.TokenOffset == 0 {
 		return nil
 	}
 	if request.Resume.Text == "" {
 		return unknownRequest()
 	}
-	if request.Resume.Text != AnswerText(request.Prompt, 0, request.Resume.TokenOffset) {
-		return &refusal{status: http.StatusConflict, code: "resume_mismatch", message: "the text is not that many tokens of the answer"}
+	if request.Resume.Text != CompletionText(request.Prompt, 0, request.Resume.TokenOffset) {
+		return &errorResponse{status: http.StatusConflict, code: "resume_mismatch", message: "the text is not that many tokens of the answer"}
 	}
 	return nil
 }
 
-// leave detaches a reader.
-func (e *Engine) leave(g *generation) {
+// detach removes a reader from a generation.
+func (e *Engine) detach(g *generation) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	g.readers--
 	g.idleSince = time.Now()
 }
 
-// streamStep is what a stream does next.
+// streamStep is the next action of a stream: send a chunk, abort, or wait for a
+// change.
 type streamStep struct {
 	chunk   backend.CompletionChunk
 	ready   bool
-	broken  bool
+	aborted bool
 	changed <-chan struct{}
 }
 
-// stream sends a generation's tokens from an offset on until its end.
+// stream sends a generation's tokens from an offset to its end.
 func (e *Engine) stream(w http.ResponseWriter, r *http.Request, g *generation, offset int) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.WriteHeader(http.StatusOK)
 	controller := http.NewResponseController(w)
 	_ = controller.Flush()
 	for {
-		if !e.faults.waitOver(r.Context(), FaultFreeze) {
+		if !e.faults.awaitEnd(r.Context(), FaultFreeze) {
 			abort()
 		}
 		step := e.nextStep(g, offset)
 		switch {
-		case step.broken:
+		case step.aborted:
 			abort()
 		case step.ready:
 			writeEvent(w, step.chunk)
@@ -273,17 +275,17 @@
 	}
 }
 
-// nextStep takes the next chunk of a stream.
+// nextStep returns the next step of a stream at an offset.
 func (e *Engine) nextStep(g *generation, offset int) streamStep {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if g.state == generationLost || g.cutAt >= 0 && offset >= g.cutAt {
-		g.cutAt = -1
-		return streamStep{broken: true}
+	if g.state == generationAborted || g.breakAt >= 0 && offset >= g.breakAt {
+		g.breakAt = -1
+		return streamStep{aborted: true}
 	}
 	chunk, ready := g.chunk(offset, e.options.ChunkTokens)
 	if !ready && g.state == generationDone {
-		// The reader has all tokens already: only the end is left.
+		// The reader has all tokens; send an empty final chunk.
 		chunk, ready = g.encode(g.length, g.length, e.version), true
 	}
 	return streamStep{chunk: chunk, ready: ready, changed: g.changed}
--- a/internal/standin/engine_test.go
+++ b/internal/standin/engine_test.go
@@ -24,40 +24,40 @@
 	model         = cluster.ModelName("captions")
 )
 
-// bench is an engine behind a network in memory.
-type bench struct {
-	t      *testing.T
-	pipes  *pipes
-	engine *backend.EngineClient
+// engineFixture is an engine on an in-memory network, with a client.
+type engineFixture struct {
+	t       *testing.T
+	network *pipeNetwork
+	engine  *backend.EngineClient
 }
 
-// onVirtualTime runs a test against one engine inside a synctest bubble.
-func onVirtualTime(t *testing.T, options standin.EngineOptions, run func(b *bench)) {
+// withEngine runs a test against one engine in a synctest bubble.
+func withEngine(t *testing.T, options standin.EngineOptions, run func(b *engineFixture)) {
 	synctest.Test(t, func(t *testing.T) {
-		b := &bench{t: t, pipes: &pipes{}}
-		b.engine = b.pipes.engineClient(t)
+		b := &engineFixture{t: t, network: &pipeNetwork{}}
+		b.engine = b.network.engineClient(t)
 		b.startEngine(engineAddress, options)
 		run(b)
 	})
 }
 
-func (b *bench) startEngine(address string, options standin.EngineOptions) {
+func (b *engineFixture) startEngine(address string, options standin.EngineOptions) {
 	options.Model = model
 	if options.Version == 0 {
 		options.Version = 1
 	}
 	engine := standin.NewEngine(options)
 	b.t.Cleanup(engine.Close)
-	b.pipes.serve(b.t, address, engine.Handler())
+	b.network.serve(b.t, address, engine.Handler())
 }
 
-// post sends a JSON body to a stand-in and wants a 2xx answer.
-func (b *bench) post(address, path string, body any) {
+// post sends a JSON body to a stand-in and requires a 2xx response.
+func (b *engineFixture) post(address, path string, body any) {
 	b.t.Helper()
-	postJSON(b.t, b.pipes, address, path, body)
+	postJSON(b.t, b.network, address, path, body)
 }
 
-func postJSON(t *testing.T, p *pipes, address, path string, body any) {
+func postJSON(t *testing.T, p *pipeNetwork, address, path string, body any) {
 	t.Helper()
 	encoded, err := json.Marshal(body)
 	if err != nil {
@@ -74,7 +74,7 @@
 	}
 }
 
-func getJSON(t *testing.T, p *pipes, address, path string, target any) {
+func getJSON(t *testing.T, p *pipeNetwork, address, path string, target any) {
 	t.Helper()
 	client := &http.Client{Transport: &http.Transport{DialContext: p.dial, DisableKeepAlives: true}}
 	response, err := client.Get("http://" + address + path)
@@ -87,58 +87,58 @@
 	}
 }
 
-// fault is the body of POST /faults, its value as a string.
-func fault(name standin.FaultName, value string) map[string]string {
+// newFault returns a body of POST /faults, with the value as a string.
+func newFault(name standin.FaultName, value string) map[string]string {
 	return map[string]string{"name": string(name), "value": value}
 }
 
-// generated is what one Generate emitted.
-type generated struct {
-	text     string
-	versions []cluster.Version
-	next     int
-	ended    machine.AttemptEnded
-	took     time.Duration
+// generateResult collects the output of one Generate call.
+type generateResult struct {
+	text      string
+	versions  []cluster.Version
+	nextToken int
+	end       machine.AttemptEnded
+	duration  time.Duration
 }
 
-func (b *bench) generate(start machine.StartAttempt) generated {
+func (b *engineFixture) generate(start machine.StartAttempt) generateResult {
 	b.t.Helper()
-	return b.generateWatched(start, func(machine.AttemptChunk) {})
+	return b.generateWithHook(start, func(machine.AttemptChunk) {})
 }
 
-func (b *bench) generateWatched(start machine.StartAttempt, watch func(machine.AttemptChunk)) generated {
+func (b *engineFixture) generateWithHook(start machine.StartAttempt, onChunk func(machine.AttemptChunk)) generateResult {
 	b.t.Helper()
 	if start.Address == "" {
 		start.Address = engineAddress
 	}
-	begun := time.Now()
-	got := generated{next: start.ResumeFrom}
+	started := time.Now()
+	got := generateResult{nextToken: start.ResumeFrom}
 	ends := 0
 	b.engine.Generate(b.t.Context(), start, func(in machine.Input) {
 		switch in := in.(type) {
 		case machine.AttemptChunk:
 			got.text += in.Text
-			got.next += in.Tokens
+			got.nextToken += in.Tokens
 			if n := len(got.versions); n == 0 || got.versions[n-1] != in.Version {
 				got.versions = append(got.versions, in.Version)
 			}
-			watch(in)
+			onChunk(in)
 		case machine.AttemptEnded:
 			ends++
-			got.ended = in
+			got.end = in
 		}
 	})
 	if ends != 1 {
-		b.t.Errorf("%d ends were emitted", ends)
+		b.t.Errorf("%d end events, want 1", ends)
 	}
-	got.took = time.Since(begun)
+	got.duration = time.Since(started)
 	return got
 }
 
-// attempt is the start of an attempt whose answer has maxTokens tokens.
-func attempt(sample, maxTokens int) machine.StartAttempt {
+// newAttempt returns an attempt whose completion has maxTokens tokens.
+func newAttempt(sample, maxTokens int) machine.StartAttempt {
 	prompt := "a long answer"
-	for standin.AnswerLength(prompt, maxTokens) < maxTokens {
+	for standin.CompletionLength(prompt, maxTokens) < maxTokens {
 		prompt += "."
 	}
 	return machine.StartAttempt{
@@ -150,17 +150,17 @@
 	}
 }
 
-func wholeText(start machine.StartAttempt) string {
-	return standin.AnswerText(start.Prompt, 0, standin.AnswerLength(start.Prompt, start.MaxTokens))
+func fullText(start machine.StartAttempt) string {
+	return standin.CompletionText(start.Prompt, 0, standin.CompletionLength(start.Prompt, start.MaxTokens))
 }
 
-func TestGenerateGivesTheWholeAnswer(t *testing.T) {
-	onVirtualTime(t, standin.EngineOptions{Version: 7}, func(b *bench) {
+func TestGenerateReturnsFullCompletion(t *testing.T) {
+	withEngine(t, standin.EngineOptions{Version: 7}, func(b *engineFixture) {
 		for _, maxTokens := range []int{1, 8, 9, 100} {
-			start := attempt(maxTokens, maxTokens)
+			start := newAttempt(maxTokens, maxTokens)
 			got := b.generate(start)
-			if got.ended.Reason != machine.EndComplete || got.text != wholeText(start) {
-				t.Errorf("%d tokens: ended %+v with %d bytes", maxTokens, got.ended, len(got.text))
+			if got.end.Reason != machine.EndComplete || got.text != fullText(start) {
+				t.Errorf("%d tokens: ended %+v with %d bytes", maxTokens, got.end, len(got.text))
 			}
 			if diff := cmp.Diff([]cluster.Version{7}, got.versions); diff != "" {
 				t.Error(diff)
@@ -169,10 +169,10 @@
 	})
 }
 
-func TestAnswerLengthsHaveAHeavyTail(t *testing.T) {
+func TestCompletionLengthsAreHeavyTailed(t *testing.T) {
 	long := 0
 	for i := range 1000 {
-		length := standin.AnswerLength(strings.Repeat("p", i), 4096)
+		length := standin.CompletionLength(strings.Repeat("p", i), 4096)
 		if length < 16 || length > 4096 {
 			t.Fatalf("length %d", length)
 		}
@@ -180,36 +180,36 @@
 			long++
 		}
 	}
-	// 10^-1.1 of a thousand are about 79.
+	// About 79 are expected: 10^-1.1 of 1000.
 	if long < 50 || long > 120 {
-		t.Errorf("%d of 1000 answers are ten times the shortest", long)
+		t.Errorf("%d of 1000 completions are longer than ten times the minimum", long)
 	}
 }
 
-func TestBatchSlowsEachStream(t *testing.T) {
-	onVirtualTime(t, standin.EngineOptions{Slots: 8, BatchCost: 0.5}, func(b *bench) {
-		alone := b.generate(attempt(0, 80)).took
+func TestBatchingSlowsStreams(t *testing.T) {
+	withEngine(t, standin.EngineOptions{Slots: 8, BatchCost: 0.5}, func(b *engineFixture) {
+		alone := b.generate(newAttempt(0, 80)).duration
 		var together [4]time.Duration
 		var group sync.WaitGroup
 		for i := range together {
-			group.Go(func() { together[i] = b.generate(attempt(i+1, 80)).took })
+			group.Go(func() { together[i] = b.generate(newAttempt(i+1, 80)).duration })
 		}
 		group.Wait()
 		for _, took := range together {
 			if took < 2*alone {
-				t.Errorf("a stream took %v in a batch of four, %v alone", took, alone)
+				t.Errorf("stream duration %v in a batch of four, %v alone", took, alone)
 			}
 		}
 	})
 }
 
-func TestPriorityComesFirst(t *testing.T) {
-	onVirtualTime(t, standin.EngineOptions{Slots: 1}, func(b *bench) {
+func TestHigherPriorityRunsFirst(t *testing.T) {
+	withEngine(t, standin.EngineOptions{Slots: 1}, func(b *engineFixture) {
 		var mu sync.Mutex
 		var order []int
 		var group sync.WaitGroup
 		for sample := range 4 {
-			start := attempt(sample, 16)
+			start := newAttempt(sample, 16)
 			start.Priority = sample
 			group.Go(func() {
 				b.generate(start)
@@ -226,21 +226,21 @@
 	})
 }
 
-func TestCutStreamIsResumedFromTheBuffer(t *testing.T) {
-	onVirtualTime(t, standin.EngineOptions{}, func(b *bench) {
-		b.post(engineAddress, "/faults", fault(standin.FaultCutStream, "1"))
-		start := attempt(0, 200)
+func TestBrokenStreamResumesOnSameEngine(t *testing.T) {
+	withEngine(t, standin.EngineOptions{}, func(b *engineFixture) {
+		b.post(engineAddress, "/faults", newFault(standin.FaultCutStream, "1"))
+		start := newAttempt(0, 200)
 		first := b.generate(start)
-		if first.ended.Reason != machine.EndCut || first.next == 0 || first.next >= 200 {
+		if first.end.Reason != machine.EndCut || first.nextToken == 0 || first.nextToken >= 200 {
 			t.Fatalf("first part: %+v", first)
 		}
-		start.ResumeFrom = first.next
+		start.ResumeFrom = first.nextToken
 		rest := b.generate(start)
-		if rest.ended.Reason != machine.EndComplete || first.text+rest.text != wholeText(start) {
-			t.Errorf("rest: %+v", rest.ended)
+		if rest.end.Reason != machine.EndComplete || first.text+rest.text != fullText(start) {
+			t.Errorf("remainder: %+v", rest.end)
 		}
 		var counts map[string]int
-		getJSON(t, b.pipes, engineAddress, "/counts", &counts)
+		getJSON(t, b.network, engineAddress, "/counts", &counts)
 		if diff := cmp.Diff(map[string]int{start.ID.String(): 1}, counts); diff != "" {
 			t.Error(diff)
 		}
@@ -248,29 +248,29 @@
 }
 
 func TestResumeOnAnotherEngine(t *testing.T) {
-	onVirtualTime(t, standin.EngineOptions{}, func(b *bench) {
+	withEngine(t, standin.EngineOptions{}, func(b *engineFixture) {
 		b.startEngine("other:80", standin.EngineOptions{Version: 2})
-		start := attempt(0, 100)
+		start := newAttempt(0, 100)
 		start.Address = "other:80"
 		start.ResumeFrom = 33
-		if got := b.generate(start); got.ended.Reason != machine.EndUnknownRequest {
-			t.Errorf("without text: %+v", got.ended)
+		if got := b.generate(start); got.end.Reason != machine.EndUnknownRequest {
+			t.Errorf("without text: %+v", got.end)
 		}
-		start.ResumeText = "not the answer"
-		if got := b.generate(start); got.ended.Reason != machine.EndRefused {
-			t.Errorf("with wrong text: %+v", got.ended)
+		start.ResumeText = "not the completion"
+		if got := b.generate(start); got.end.Reason != machine.EndRefused {
+			t.Errorf("with wrong text: %+v", got.end)
 		}
-		start.ResumeText = standin.AnswerText(start.Prompt, 0, 33)
+		start.ResumeText = standin.CompletionText(start.Prompt, 0, 33)
 		got := b.generate(start)
-		if got.ended.Reason != machine.EndComplete || start.ResumeText+got.text != wholeText(start) {
-			t.Errorf("with text: %+v", got.ended)
+		if got.end.Reason != machine.EndComplete || start.ResumeText+got.text != fullText(start) {
+			t.Errorf("with text: %+v", got.end)
 		}
 	})
 }
 
 func TestDetachedRequestIsPausedAndResumed(t *testing.T) {
-	onVirtualTime(t, standin.EngineOptions{DetachGrace: time.Second}, func(b *bench) {
-		start := attempt(0, 4000)
+	withEngine(t, standin.EngineOptions{DetachGrace: time.Second}, func(b *engineFixture) {
+		start := newAttempt(0, 4000)
 		ctx, closeStream := context.WithCancel(b.t.Context())
 		start.Address = engineAddress
 		var received int
@@ -283,17 +283,17 @@
 		time.Sleep(time.Minute)
 		report := b.report()
 		if report.Running != 0 || report.Waiting != 0 {
-			t.Errorf("the engine still works for nobody: %+v", report)
+			t.Errorf("request without readers is still active: %+v", report)
 		}
 		start.ResumeFrom = received
 		got := b.generate(start)
-		if got.ended.Reason != machine.EndComplete || !strings.HasSuffix(wholeText(start), got.text) || got.next != 4000 {
-			t.Errorf("resumed: %+v at %d", got.ended, got.next)
+		if got.end.Reason != machine.EndComplete || !strings.HasSuffix(fullText(start), got.text) || got.nextToken != 4000 {
+			t.Errorf("resumed: %+v at %d", got.end, got.nextToken)
 		}
 	})
 }
 
-func (b *bench) report() machine.BackendReport {
+func (b *engineFixture) report() machine.BackendReport {
 	b.t.Helper()
 	report := b.engine.Report(b.t.Context(), machine.PollBackend{Backend: "e1", Kind: cluster.KindEngine, Address: engineAddress})
 	if report.Err != "" {
@@ -302,34 +302,34 @@
 	return report
 }
 
-func TestCancelEndsTheAttempt(t *testing.T) {
-	onVirtualTime(t, standin.EngineOptions{}, func(b *bench) {
-		start := attempt(0, 1000)
+func TestCancelEndsAttempt(t *testing.T) {
+	withEngine(t, standin.EngineOptions{}, func(b *engineFixture) {
+		start := newAttempt(0, 1000)
 		cancel := sync.OnceFunc(func() {
 			err := b.engine.Cancel(b.t.Context(), machine.CancelAttempt{ID: start.ID, Engine: "e1", Address: engineAddress})
 			if err != nil {
 				t.Error(err)
 			}
 		})
-		got := b.generateWatched(start, func(machine.AttemptChunk) { cancel() })
-		if got.ended.Reason != machine.EndCanceled {
-			t.Errorf("ended %+v", got.ended)
+		got := b.generateWithHook(start, func(machine.AttemptChunk) { cancel() })
+		if got.end.Reason != machine.EndCanceled {
+			t.Errorf("ended %+v", got.end)
 		}
 		time.Sleep(time.Second)
 		if report := b.report(); report.Running != 0 {
 			t.Errorf("report %+v", report)
 		}
-		start.ResumeFrom = got.next
-		if again := b.generate(start); again.ended.Reason != machine.EndUnknownRequest {
-			t.Errorf("resume after cancel: %+v", again.ended)
+		start.ResumeFrom = got.nextToken
+		if again := b.generate(start); again.end.Reason != machine.EndUnknownRequest {
+			t.Errorf("resume after cancel: %+v", again.end)
 		}
 	})
 }
 
 func TestRefusals(t *testing.T) {
-	wrongModel := attempt(0, 10)
+	wrongModel := newAttempt(0, 10)
 	wrongModel.Model = "other"
-	unreachable := attempt(0, 10)
+	unreachable := newAttempt(0, 10)
 	unreachable.Address = "nobody:80"
 	tests := []struct {
 		name  string
@@ -340,29 +340,29 @@
 	}{
 		{name: "wrong model", start: wrongModel, want: machine.EndRefused},
 		{name: "unreachable", start: unreachable, want: machine.EndUnreachable},
-		{name: "leaving", path: "/leave", start: attempt(0, 10), want: machine.EndRefused},
-		{name: "refusing", path: "/faults", body: fault(standin.FaultRefuse, "60"), start: attempt(0, 10), want: machine.EndRefused},
-		{name: "crashed", path: "/faults", body: fault(standin.FaultCrash, "60"), start: attempt(0, 10), want: machine.EndCut},
+		{name: "leaving", path: "/leave", start: newAttempt(0, 10), want: machine.EndRefused},
+		{name: "refusing", path: "/faults", body: newFault(standin.FaultRefuse, "60"), start: newAttempt(0, 10), want: machine.EndRefused},
+		{name: "crashed", path: "/faults", body: newFault(standin.FaultCrash, "60"), start: newAttempt(0, 10), want: machine.EndCut},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			onVirtualTime(t, standin.EngineOptions{}, func(b *bench) {
+			withEngine(t, standin.EngineOptions{}, func(b *engineFixture) {
 				if test.path != "" {
 					b.post(engineAddress, test.path, test.body)
 				}
 				got := b.generate(test.start)
-				if got.ended.Reason != test.want || got.ended.Err == "" || got.text != "" {
+				if got.end.Reason != test.want || got.end.Err == "" || got.text != "" {
 					t.Errorf("got %+v", got)
 				}
-				if b.pipes != nil && test.path == "/leave" && got.ended.RetryAfter <= 0 {
-					t.Error("no time to come back")
+				if b.network != nil && test.path == "/leave" && got.end.RetryAfter <= 0 {
+					t.Error("rejection without RetryAfter")
 				}
 			})
 		})
 	}
 }
 
-func TestCrashAndFreezeInMidStream(t *testing.T) {
+func TestCrashAndFreezeDuringStream(t *testing.T) {
 	tests := []struct {
 		fault standin.FaultName
 		want  machine.EndReason
@@ -372,15 +372,15 @@
 	}
 	for _, test := range tests {
 		t.Run(string(test.fault), func(t *testing.T) {
-			onVirtualTime(t, standin.EngineOptions{}, func(b *bench) {
-				set := sync.OnceFunc(func() { b.post(engineAddress, "/faults", fault(test.fault, "300")) })
-				start := attempt(0, 100)
-				got := b.generateWatched(start, func(machine.AttemptChunk) { set() })
-				if got.ended.Reason != test.want {
-					t.Errorf("ended %+v", got.ended)
+			withEngine(t, standin.EngineOptions{}, func(b *engineFixture) {
+				set := sync.OnceFunc(func() { b.post(engineAddress, "/faults", newFault(test.fault, "300")) })
+				start := newAttempt(0, 100)
+				got := b.generateWithHook(start, func(machine.AttemptChunk) { set() })
+				if got.end.Reason != test.want {
+					t.Errorf("ended %+v", got.end)
 				}
-				if frozen := got.took >= 300*time.Second; frozen != (test.fault == standin.FaultFreeze) {
-					t.Errorf("took %v", got.took)
+				if frozen := got.duration >= 300*time.Second; frozen != (test.fault == standin.FaultFreeze) {
+					t.Errorf("took %v", got.duration)
 				}
 			})
 		})
@@ -389,13 +389,13 @@
 
 func TestCachedPrefixShortensPrefill(t *testing.T) {
 	options := standin.EngineOptions{PrefillTokenTime: 10 * time.Millisecond}
-	onVirtualTime(t, options, func(b *bench) {
-		start := attempt(0, 16)
+	withEngine(t, options, func(b *engineFixture) {
+		start := newAttempt(0, 16)
 		start.Prompt = strings.Repeat("shared ", 200)
 		start.Group = "g"
-		cold := b.generate(start).took
+		cold := b.generate(start).duration
 		start.ID.Sample = 1
-		warm := b.generate(start).took
+		warm := b.generate(start).duration
 		if warm >= cold/2 {
 			t.Errorf("warm %v, cold %v", warm, cold)
 		}
--- a/internal/standin/faults.go
+++ b/internal/standin/faults.go
@@ -11,19 +11,19 @@
 	"github.com/rotisserie/eris"
 )
 
-// FaultName names a fault. Stand-ins and the simulator use the same names.
+// FaultName identifies a fault. Stand-ins and the simulator use the same names.
 type FaultName string
 
 // The faults of the platform.
 const (
-	// FaultStoreDown drops each call to the log and the weight store, for a time
-	// in seconds.
+	// FaultStoreDown drops each call to the log and the weight store for a number
+	// of seconds.
 	FaultStoreDown FaultName = "store_down"
-	// FaultStoreSlow adds milliseconds to each call to the log and the weight
-	// store.
+	// FaultStoreSlow delays each call to the log and the weight store by a number
+	// of milliseconds.
 	FaultStoreSlow FaultName = "store_slow"
-	// FaultAppendAnswerLost lets the next N appends take effect and then drops
-	// their connections.
+	// FaultAppendAnswerLost executes the next N appends and then drops their
+	// connections without a response.
 	FaultAppendAnswerLost FaultName = "append_answer_lost"
 	// FaultListLag sets the machine list's lag in milliseconds.
 	FaultListLag FaultName = "list_lag"
@@ -31,25 +31,25 @@
 
 // The faults of engines and services.
 const (
-	// FaultCrash closes all connections and refuses new ones, for a time in
-	// seconds; what was in memory is lost.
+	// FaultCrash closes all connections and refuses new ones for a number of
+	// seconds; in-memory state is lost.
 	FaultCrash FaultName = "crash"
-	// FaultFreeze stops everything and answers nothing, for a time in seconds.
+	// FaultFreeze suspends all processing and responses for a number of seconds.
 	FaultFreeze FaultName = "freeze"
-	// FaultSlow multiplies an engine's token time, or adds milliseconds to a
-	// service's requests.
+	// FaultSlow multiplies an engine's token time, or adds a number of
+	// milliseconds to each request of a service.
 	FaultSlow FaultName = "slow"
-	// FaultRefuse refuses new work, for a time in seconds.
+	// FaultRefuse rejects new requests for a number of seconds.
 	FaultRefuse FaultName = "refuse"
 )
 
 // The faults of engines alone.
 const (
-	// FaultCutStream breaks the next N streams midway.
+	// FaultCutStream aborts the next N streams midway.
 	FaultCutStream FaultName = "cut_stream"
-	// FaultSwapFail makes the next N loads fail; the old version stays.
+	// FaultSwapFail makes the next N loads fail; the old version stays loaded.
 	FaultSwapFail FaultName = "swap_fail"
-	// FaultSwapWrong makes the next N loads end on a version nobody ordered.
+	// FaultSwapWrong makes the next N loads load a version that was not ordered.
 	FaultSwapWrong FaultName = "swap_wrong"
 	// FaultReportLag sets the lag of GET /load in milliseconds.
 	FaultReportLag FaultName = "report_lag"
@@ -57,30 +57,32 @@
 
 // The faults of services alone.
 const (
-	// FaultDropBefore drops the next N requests before they run.
+	// FaultDropBefore drops the next N requests before they are executed.
 	FaultDropBefore FaultName = "drop_before"
-	// FaultDropAfter runs the next N requests and drops them without an answer.
+	// FaultDropAfter executes the next N requests and drops them without a
+	// response.
 	FaultDropAfter FaultName = "drop_after"
-	// FaultTruncate breaks the next N answers midway.
+	// FaultTruncate truncates the next N responses.
 	FaultTruncate FaultName = "truncate"
 )
 
-// faultKind says what a fault's value means.
+// faultKind determines how a fault's value is interpreted.
 type faultKind int
 
 const (
-	// faultTimed is on for a number of seconds.
+	// faultTimed is active for a number of seconds.
 	faultTimed faultKind = iota + 1
-	// faultCounted befalls the next N cases.
+	// faultCounted applies to the next N operations.
 	faultCounted
-	// faultLevel is a number that stays until it is set again.
+	// faultLevel is a number that stays in effect until it is set again.
 	faultLevel
 )
 
 // faults holds the faults of one stand-in. It is safe for concurrent use.
 type faults struct {
 	kinds map[FaultName]faultKind
-	// onSet, when set, runs after a fault was set and answered.
+	// onSet, if not nil, is called after a fault is set and the response to
+	// POST /faults is flushed.
 	onSet func(name FaultName, value float64)
 
 	mu      sync.Mutex
@@ -98,7 +100,7 @@
 	}
 }
 
-// set switches a fault on, or off with zero.
+// set activates a fault; value zero deactivates it.
 func (f *faults) set(name FaultName, value float64) error {
 	kind, ok := f.kinds[name]
 	if !ok {
@@ -119,24 +121,24 @@
 	return nil
 }
 
-// remaining returns how long a timed fault will last, and a channel that is
-// closed when any fault is set.
-func (f *faults) remaining(name FaultName) (time.Duration, <-chan struct{}) {
+// timeLeft returns the remaining duration of a timed fault, and a channel that
+// is closed when any fault is set.
+func (f *faults) timeLeft(name FaultName) (time.Duration, <-chan struct{}) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return time.Until(f.until[name]), f.changed
 }
 
-// active reports whether a timed fault is on.
+// active reports whether a timed fault is active.
 func (f *faults) active(name FaultName) bool {
-	left, _ := f.remaining(name)
+	left, _ := f.timeLeft(name)
 	return left > 0
 }
 
-// waitOver returns when a timed fault is over; false when ctx ended before.
-func (f *faults) waitOver(ctx context.Context, name FaultName) bool {
+// awaitEnd waits until a timed fault is over. It returns false if ctx ends first.
+func (f *faults) awaitEnd(ctx context.Context, name FaultName) bool {
 	for {
-		left, changed := f.remaining(name)
+		left, changed := f.timeLeft(name)
 		if left <= 0 {
 			return true
 		}
@@ -153,13 +155,14 @@
 	return f.values[name]
 }
 
-// milliseconds returns a level as a time.
+// milliseconds returns a level in milliseconds as a duration.
 func (f *faults) milliseconds(name FaultName) time.Duration {
 	return time.Duration(f.level(name) * float64(time.Millisecond))
 }
 
-// take uses up one case of a counted fault and reports whether there was one.
-func (f *faults) take(name FaultName) bool {
+// consume decrements the count of a counted fault and reports whether it was
+// above zero.
+func (f *faults) consume(name FaultName) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.values[name] < 1 {
@@ -169,7 +172,8 @@
 	return true
 }
 
-// sleep waits for a duration or until wake is closed; false when ctx ended.
+// sleep waits for a duration or until wake is closed. It returns false if ctx
+// ends first.
 func sleep(ctx context.Context, duration time.Duration, wake <-chan struct{}) bool {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
@@ -183,14 +187,14 @@
 	}
 }
 
-// faultSetting is the body of POST /faults. The value is a number or a string
-// that holds one.
+// faultSetting is the body of POST /faults. The value is a JSON number, or a
+// string that contains one.
 type faultSetting struct {
 	Name  FaultName   `json:"name"`
 	Value json.Number `json:"value"`
 }
 
-// ServeHTTP answers POST /faults.
+// ServeHTTP handles POST /faults.
 func (f *faults) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	var setting faultSetting
 	if !readJSON(w, r, &setting) {
@@ -212,10 +216,10 @@
 	}
 }
 
-// guard applies crash and freeze in front of a handler.
+// guard wraps a handler with the crash and freeze faults.
 func (f *faults) guard(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		if f.active(FaultCrash) || !f.waitOver(r.Context(), FaultFreeze) {
+		if f.active(FaultCrash) || !f.awaitEnd(r.Context(), FaultFreeze) {
 			abort()
 		}
 		next(w, r)
--- a/internal/standin/generation.go
+++ b/internal/standin/generation.go
@@ -7,75 +7,77 @@
 	"dalehook/internal/cluster"
 )
 
-// generationState says where a generation stands.
+// generationState is the lifecycle state of a generation.
 type generationState int
 
 const (
-	// generationWaiting is in the queue.
+	// generationWaiting means queued.
 	generationWaiting generationState = iota + 1
-	// generationRunning is in the batch.
+	// generationRunning means in the batch.
 	generationRunning
-	// generationDone has produced its whole answer.
+	// generationDone means that the whole completion has been produced.
 	generationDone
-	// generationPaused lost its reader for longer than the grace; a resume puts
-	// it into the queue again.
+	// generationPaused means that there was no reader for longer than
+	// DetachGrace; a resume requeues the generation.
 	generationPaused
-	// generationLost was cancelled, or went with a crash.
-	generationLost
+	// generationAborted means cancelled, replaced or lost in a crash.
+	generationAborted
 )
 
-// versionRun is a run of tokens that one weight version produced.
-type versionRun struct {
+// versionSegment is a run of consecutive tokens produced by one weight version.
+type versionSegment struct {
 	version cluster.Version
-	to      int
+	end     int
 }
 
-// generation is one request that the engine knows. The tokens themselves are
-// not kept, since the text follows from the prompt.
+// generation is the state of one request. Tokens are not stored, because the
+// text is a function of the prompt.
 type generation struct {
-	request  backend.CompletionRequest
-	arrival  uint64
-	state    generationState
-	length   int
-	first    int
-	produced int
-	runs     []versionRun
-	prefill  time.Duration
-	// begun is set once the generation was in a batch.
-	begun bool
-	// cutAt is the token at which the next stream breaks, negative for never.
-	cutAt   int
+	request     backend.CompletionRequest
+	sequence    uint64
+	state       generationState
+	length      int
+	startOffset int
+	produced    int
+	segments    []versionSegment
+	prefill     time.Duration
+	// started is set once the generation has been in a batch.
+	started bool
+	// breakAt is the token offset at which the next stream is aborted, negative
+	// for never.
+	breakAt int
 	readers int
-	// idleSince is when the last reader left, or when the answer was done.
+	// idleSince is the time at which the last reader detached or the completion
+	// was finished.
 	idleSince time.Time
-	// changed is closed and replaced on each change.
+	// changed is closed and replaced on every change.
 	changed chan struct{}
 }
 
-func newGeneration(request backend.CompletionRequest, arrival uint64) *generation {
+func newGeneration(request backend.CompletionRequest, sequence uint64) *generation {
 	g := &generation{
-		request: request,
-		arrival: arrival,
-		state:   generationWaiting,
-		length:  AnswerLength(request.Prompt, request.MaxTokens),
-		cutAt:   -1,
-		changed: make(chan struct{}),
+		request:  request,
+		sequence: sequence,
+		state:    generationWaiting,
+		length:   CompletionLength(request.Prompt, request.MaxTokens),
+		breakAt:  -1,
+		changed:  make(chan struct{}),
 	}
 	if request.Resume != nil {
-		g.first = min(request.Resume.TokenOffset, g.length)
-		g.produced = g.first
+		g.startOffset = min(request.Resume.TokenOffset, g.length)
+		g.produced = g.startOffset
 	}
 	return g
 }
 
-// isFor reports whether a request asks for the same answer.
-func (g *generation) isFor(request backend.CompletionRequest) bool {
+// matches reports whether a request is for the same completion.
+func (g *generation) matches(request backend.CompletionRequest) bool {
 	return g.request.Prompt == request.Prompt && g.request.MaxTokens == request.MaxTokens
 }
 
-// holds reports whether a stream can go on from a token.
-func (g *generation) holds(offset int) bool {
-	return offset >= g.first && offset <= g.produced
+// canResumeFrom reports whether a stream can continue at a token offset.
+func (g *generation) canResumeFrom(offset int) bool {
+	return offset >= g.startOffset && offset <= g.produced
 }
 
 func (g *generation) notify() {
@@ -88,33 +90,33 @@
 	g.notify()
 }
 
-// produce adds tokens of one version.
+// produce adds tokens produced by one version.
 func (g *generation) produce(tokens int, version cluster.Version) {
 	g.produced = min(g.produced+tokens, g.length)
-	last := len(g.runs) - 1
-	if last >= 0 && g.runs[last].version == version {
-		g.runs[last].to = g.produced
+	last := len(g.segments) - 1
+	if last >= 0 && g.segments[last].version == version {
+		g.segments[last].end = g.produced
 	} else {
-		g.runs = append(g.runs, versionRun{version: version, to: g.produced})
+		g.segments = append(g.segments, versionSegment{version: version, end: g.produced})
 	}
 	g.notify()
 }
 
-// chunk returns the next piece from a token on, all of one version; ok is false
-// when nothing is there yet.
+// chunk returns up to limit tokens from an offset on, all from one version. ok is
+// false if no token after the offset has been produced yet.
 func (g *generation) chunk(from, limit int) (chunk backend.CompletionChunk, ok bool) {
-	for _, run := range g.runs {
-		if run.to <= from {
+	for _, segment := range g.segments {
+		if segment.end <= from {
 			continue
 		}
-		to := min(run.to, from+limit)
-		return g.encode(from, to, run.version), true
+		to := min(segment.end, from+limit)
+		return g.encode(from, to, segment.version), true
 	}
 	return backend.CompletionChunk{}, false
 }
 
 func (g *generation) encode(from, to int, version cluster.Version) backend.CompletionChunk {
-	choice := backend.CompletionChoice{Text: AnswerText(g.request.Prompt, from, to)}
+	choice := backend.CompletionChoice{Text: CompletionText(g.request.Prompt, from, to)}
 	if to == g.length {
 		reason := backend.FinishStop
 		if g.length == g.request.MaxTokens {
@@ -131,5 +133,5 @@
 	}
 }
 
-// kvTokens is the cache memory that the generation takes.
+// kvTokens returns the size of the generation's KV cache in tokens.
 func (g *generation) kvTokens() int { return promptTokens(g.request.Prompt) + g.produced }
--- a/internal/standin/load.go
+++ b/internal/standin/load.go
@@ -9,61 +9,61 @@
 	"dalehook/internal/platform"
 )
 
-// errSwapFailed is the load error of the fault swap_fail.
+// errSwapFailed is the load error caused by FaultSwapFail.
 var errSwapFailed = errors.New("the swap failed")
 
-// load is one load order that is being carried out.
+// load is a load order in progress.
 type load struct {
 	order  backend.Order
 	cancel context.CancelFunc
-	// swapping is set while nothing is generated.
+	// swapping is set while the swap pauses generation.
 	swapping bool
 }
 
-// beginLoadLocked starts to carry out an order; an earlier one is given up.
-func (e *Engine) beginLoadLocked(order backend.Order) {
-	e.stopLoadLocked()
+// startLoadLocked starts executing an order and cancels an earlier one.
+func (e *Engine) startLoadLocked(order backend.Order) {
+	e.cancelLoadLocked()
 	ctx, cancel := context.WithCancel(e.background.ctx)
-	begun := &load{order: order, cancel: cancel}
-	e.load = begun
+	started := &load{order: order, cancel: cancel}
+	e.load = started
 	e.loadError = ""
 	e.background.run(func() {
 		defer cancel()
-		e.runLoad(ctx, begun)
+		e.runLoad(ctx, started)
 	})
 }
 
-func (e *Engine) stopLoadLocked() {
+func (e *Engine) cancelLoadLocked() {
 	if e.load != nil {
 		e.load.cancel()
 		e.load = nil
 	}
 }
 
-// runLoad fetches the weights while the engine goes on, then swaps them in.
+// runLoad fetches the weights while generation continues, then swaps them in.
 func (e *Engine) runLoad(ctx context.Context, l *load) {
 	if err := e.fetchWeights(ctx, l.order); err != nil {
-		e.endLoad(l, 0, err)
+		e.finishLoad(l, 0, err)
 		return
 	}
 	e.mu.Lock()
 	l.swapping = true
 	e.mu.Unlock()
-	if !sleep(ctx, e.options.SwapTime, nil) || !e.faults.waitOver(ctx, FaultFreeze) {
+	if !sleep(ctx, e.options.SwapTime, nil) || !e.faults.awaitEnd(ctx, FaultFreeze) {
 		return
 	}
-	if e.faults.take(FaultSwapFail) {
-		e.endLoad(l, 0, errSwapFailed)
+	if e.faults.consume(FaultSwapFail) {
+		e.finishLoad(l, 0, errSwapFailed)
 		return
 	}
 	loaded := l.order.Version
-	if e.faults.take(FaultSwapWrong) {
+	if e.faults.consume(FaultSwapWrong) {
 		loaded = wrongVersion(loaded, e.currentVersion())
 	}
-	e.endLoad(l, loaded, nil)
+	e.finishLoad(l, loaded, nil)
 }
 
-// wrongVersion returns a version that is neither the ordered nor the current one.
+// wrongVersion returns a version other than the ordered and the current one.
 func wrongVersion(ordered, current cluster.Version) cluster.Version {
 	for wrong := ordered - 1; wrong > 0; wrong-- {
 		if wrong != current {
@@ -79,7 +79,7 @@
 	return e.version
 }
 
-// fetchWeights gets the weights, and waits where the store asks for it.
+// fetchWeights fetches the weights and retries when the store's rate limit is hit.
 func (e *Engine) fetchWeights(ctx context.Context, order backend.Order) error {
 	if e.weights == nil {
 		return nil
@@ -96,8 +96,8 @@
 	}
 }
 
-// endLoad puts the loaded version in force, or keeps the old one on an error.
-func (e *Engine) endLoad(l *load, loaded cluster.Version, err error) {
+// finishLoad activates the loaded version, or keeps the old one on an error.
+func (e *Engine) finishLoad(l *load, loaded cluster.Version, err error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	defer e.signal()
@@ -110,23 +110,23 @@
 		return
 	}
 	if l.order.Model != e.model {
-		// Another model can't go on with what runs.
-		e.loseRequestsLocked()
+		// Running requests can't continue on another model.
+		e.dropRequestsLocked()
 	}
 	e.model = l.order.Model
 	e.version = loaded
 }
 
-// judgeOrder takes an order whose fence is higher than the last. The report
-// shows it at the earliest after its lag.
-func (e *Engine) judgeOrder(order backend.Order) (accepted bool) {
+// acceptOrder accepts an order if its fence is higher than the last one. The
+// order becomes visible in reports after the report lag.
+func (e *Engine) acceptOrder(order backend.Order) (accepted bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if !e.lastFence.Less(order.Fence) {
 		return false
 	}
 	e.lastFence = order.Fence
-	e.beginLoadLocked(order)
-	e.noteReportLocked()
+	e.startLoadLocked(order)
+	e.recordReportLocked()
 	return true
 }
--- a/internal/standin/load_test.go
+++ b/internal/standin/load_test.go
@@ -15,7 +15,7 @@
 
 const platformAddress = "platform:80"
 
-func order(epoch uint64, version cluster.Version) machine.OrderEngine {
+func newOrder(epoch uint64, version cluster.Version) machine.OrderEngine {
 	return machine.OrderEngine{
 		Engine:  "e1",
 		Address: engineAddress,
@@ -25,39 +25,39 @@
 	}
 }
 
-func TestSwapInMidStream(t *testing.T) {
+func TestSwapDuringStream(t *testing.T) {
 	options := standin.EngineOptions{Version: 1, SwapTime: time.Minute}
-	onVirtualTime(t, options, func(b *bench) {
-		give := sync.OnceFunc(func() {
-			if result := b.engine.Order(b.t.Context(), order(1, 2)); !result.Accepted {
+	withEngine(t, options, func(b *engineFixture) {
+		sendOrder := sync.OnceFunc(func() {
+			if result := b.engine.Order(b.t.Context(), newOrder(1, 2)); !result.Accepted {
 				t.Errorf("order: %+v", result)
 			}
 		})
-		start := attempt(0, 200)
-		got := b.generateWatched(start, func(machine.AttemptChunk) { give() })
-		if got.ended.Reason != machine.EndComplete || got.text != wholeText(start) {
-			t.Errorf("ended %+v", got.ended)
+		start := newAttempt(0, 200)
+		got := b.generateWithHook(start, func(machine.AttemptChunk) { sendOrder() })
+		if got.end.Reason != machine.EndComplete || got.text != fullText(start) {
+			t.Errorf("ended %+v", got.end)
 		}
 		if diff := cmp.Diff([]cluster.Version{1, 2}, got.versions); diff != "" {
 			t.Error(diff)
 		}
-		if got.took < time.Minute {
-			t.Errorf("the swap did not stop generation: took %v", got.took)
+		if got.duration < time.Minute {
+			t.Errorf("generation was not paused during the swap: duration %v", got.duration)
 		}
 	})
 }
 
-func TestFencesOrderTheOrders(t *testing.T) {
-	onVirtualTime(t, standin.EngineOptions{}, func(b *bench) {
+func TestStaleFenceIsRejected(t *testing.T) {
+	withEngine(t, standin.EngineOptions{}, func(b *engineFixture) {
 		steps := []struct {
 			name            string
 			order           machine.OrderEngine
 			accepted, stale bool
 		}{
-			{name: "first", order: order(5, 2), accepted: true},
-			{name: "the same again, its answer was lost", order: order(5, 2), accepted: true},
-			{name: "lower epoch", order: order(4, 3), stale: true},
-			{name: "higher epoch, during the load", order: order(6, 4), accepted: true},
+			{name: "first", order: newOrder(5, 2), accepted: true},
+			{name: "same order again after a lost response", order: newOrder(5, 2), accepted: true},
+			{name: "lower epoch", order: newOrder(4, 3), stale: true},
+			{name: "higher epoch during the load", order: newOrder(6, 4), accepted: true},
 		}
 		for _, step := range steps {
 			got := b.engine.Order(b.t.Context(), step.order)
@@ -87,15 +87,15 @@
 	}
 	for _, test := range tests {
 		t.Run(string(test.fault), func(t *testing.T) {
-			onVirtualTime(t, standin.EngineOptions{Version: 3}, func(b *bench) {
-				b.post(engineAddress, "/faults", fault(test.fault, "1"))
-				b.engine.Order(b.t.Context(), order(1, 7))
+			withEngine(t, standin.EngineOptions{Version: 3}, func(b *engineFixture) {
+				b.post(engineAddress, "/faults", newFault(test.fault, "1"))
+				b.engine.Order(b.t.Context(), newOrder(1, 7))
 				time.Sleep(time.Hour)
 				report := b.report()
 				if report.Version != test.version || (report.LoadError != "") != test.failed {
 					t.Errorf("after the fault: %+v", report)
 				}
-				b.engine.Order(b.t.Context(), order(2, 7))
+				b.engine.Order(b.t.Context(), newOrder(2, 7))
 				time.Sleep(time.Hour)
 				if report := b.report(); report.Version != 7 || report.LoadError != "" {
 					t.Errorf("after a second order: %+v", report)
@@ -107,51 +107,51 @@
 
 func TestReportLags(t *testing.T) {
 	options := standin.EngineOptions{ReportLag: 10 * time.Second}
-	onVirtualTime(t, options, func(b *bench) {
+	withEngine(t, options, func(b *engineFixture) {
 		time.Sleep(time.Minute)
 		var during []int
-		start := attempt(0, 4000)
-		b.generateWatched(start, func(chunk machine.AttemptChunk) {
+		start := newAttempt(0, 4000)
+		b.generateWithHook(start, func(chunk machine.AttemptChunk) {
 			if chunk.FromToken%1000 == 0 {
 				during = append(during, b.report().Running)
 			}
 		})
-		// Eight tokens take 80 ms, a thousand of them ten seconds.
+		// Eight tokens take 80 ms, 1000 tokens take 10 s.
 		if diff := cmp.Diff([]int{0, 1, 1, 1}, during); diff != "" {
 			t.Error(diff)
 		}
 		if running := b.report().Running; running != 1 {
-			t.Errorf("%d run right after the end, by the report", running)
+			t.Errorf("report right after the end has %d running requests, want 1", running)
 		}
 		time.Sleep(11 * time.Second)
 		if running := b.report().Running; running != 0 {
-			t.Errorf("%d run, by the report after its lag", running)
+			t.Errorf("report after the lag has %d running requests, want 0", running)
 		}
 	})
 }
 
 func TestCacheEventsHaveGaps(t *testing.T) {
-	onVirtualTime(t, standin.EngineOptions{CacheGroups: 2}, func(b *bench) {
+	withEngine(t, standin.EngineOptions{CacheGroups: 2}, func(b *engineFixture) {
 		groups := []string{"a", "b", "c", "d", "e", "f"}
 		for sample, group := range groups {
-			start := attempt(sample, 1)
+			start := newAttempt(sample, 1)
 			start.Group = group
 			b.generate(start)
 		}
 		got := b.report().Groups
-		// The cache holds e and f; that e came is the seventh event and is lost.
+		// The cache holds e and f; storing e is the seventh event, which is dropped.
 		if want := []string{"f"}; !slices.Equal(got, want) {
-			t.Errorf("groups %v, expected %v", got, want)
+			t.Errorf("groups %v, want %v", got, want)
 		}
 	})
 }
 
-func TestWeightsAreFetchedInTurn(t *testing.T) {
-	onVirtualTime(t, standin.EngineOptions{}, func(b *bench) {
+func TestWeightFetchIsRateLimited(t *testing.T) {
+	withEngine(t, standin.EngineOptions{}, func(b *engineFixture) {
 		options := standin.PlatformOptions{WeightsRate: 0.1}
 		weights := standin.NewPlatform(options)
-		b.pipes.serve(b.t, platformAddress, weights.Handler())
-		client := b.pipes.platformClient(b.t, platformAddress)
+		b.network.serve(b.t, platformAddress, weights.Handler())
+		client := b.network.platformClient(b.t, platformAddress)
 		if err := client.PutWeights(b.t.Context(), model, 2, []byte("w")); err != nil {
 			t.Fatal(err)
 		}
@@ -163,9 +163,9 @@
 		b.startEngine("fetching:80", standin.EngineOptions{
 			WeightsURL: "http://" + platformAddress,
 			SwapTime:   time.Second,
-			Dial:       b.pipes.dial,
+			Dial:       b.network.dial,
 		})
-		load := order(1, 2)
+		load := newOrder(1, 2)
 		load.Address = "fetching:80"
 		b.engine.Order(b.t.Context(), load)
 		for {
@@ -176,7 +176,7 @@
 			time.Sleep(100 * time.Millisecond)
 		}
 		if took := time.Since(begun); took < 10*time.Second || took > 12*time.Second {
-			t.Errorf("the load took %v behind a store that gives one fetch in ten seconds", took)
+			t.Errorf("load duration %v with a store limited to one fetch in ten seconds", took)
 		}
 		load.Version = 9
 		load.Fence.Epoch = 2
@@ -184,7 +184,7 @@
 		time.Sleep(time.Hour)
 		report := b.engine.Report(b.t.Context(), machine.PollBackend{Address: "fetching:80"})
 		if report.Version != 2 || report.LoadError == "" {
-			t.Errorf("after an order for weights that are not there: %+v", report)
+			t.Errorf("after an order for missing weights: %+v", report)
 		}
 	})
 }
--- a/internal/standin/memory_log.go
+++ b/internal/standin/memory_log.go
@@ -11,17 +11,18 @@
 )
 
 const (
-	// maxReadEntries and maxReadBytes bound one answer; the reader asks again.
+	// maxReadEntries and maxReadBytes bound one response; readers continue with
+	// another read.
 	maxReadEntries = 1000
 	maxReadBytes   = 8 << 20
 	// maxReadWait bounds a long poll.
 	maxReadWait = time.Minute
 )
 
-// memoryLog is one append-only log.
+// memoryLog is an in-memory append-only log.
 type memoryLog struct {
 	entries []platform.Entry
-	// changed is closed and replaced on each append.
+	// changed is closed and replaced on every append.
 	changed chan struct{}
 }
 
@@ -35,8 +36,8 @@
 	return offset
 }
 
-// from returns entries from an offset on, as many as one answer holds.
-func (l *memoryLog) from(offset uint64) []platform.Entry {
+// entriesFrom returns entries from an offset on, limited to one response.
+func (l *memoryLog) entriesFrom(offset uint64) []platform.Entry {
 	offset = max(offset, 1)
 	if offset > l.end() {
 		return []platform.Entry{}
@@ -52,8 +53,7 @@
 	return found
 }
 
-// log returns a log by name; a name that was never used is an empty log. The
-// caller holds the lock.
+// log returns a log by name and creates it if needed. The caller must hold p.mu.
 func (p *Platform) log(name string) *memoryLog {
 	log, ok := p.logs[name]
 	if !ok {
@@ -64,7 +64,7 @@
 }
 
 func (p *Platform) postLog(w http.ResponseWriter, r *http.Request, params httprouter.Params) {
-	p.enterStore(r)
+	p.applyStoreFaults(r)
 	payload, ok := readBody(w, r)
 	if !ok {
 		return
@@ -76,27 +76,27 @@
 	p.mu.Lock()
 	offset := p.log(params.ByName("name")).append(payload)
 	p.mu.Unlock()
-	if p.faults.take(FaultAppendAnswerLost) {
+	if p.faults.consume(FaultAppendAnswerLost) {
 		abort()
 	}
 	writeJSON(w, http.StatusOK, platform.Appended{Offset: offset})
 }
 
 func (p *Platform) getLog(w http.ResponseWriter, r *http.Request, params httprouter.Params) {
-	p.enterStore(r)
+	p.applyStoreFaults(r)
 	from := queryUint(r, "from")
 	wait := min(time.Duration(queryUint(r, "wait_ms"))*time.Millisecond, maxReadWait)
 	deadline := time.Now().Add(wait)
 	for {
-		_, faulted := p.faults.remaining(FaultStoreDown)
-		answer, changed := p.read(params.ByName("name"), from)
+		_, faultsChanged := p.faults.timeLeft(FaultStoreDown)
+		result, changed := p.read(params.ByName("name"), from)
 		left := time.Until(deadline)
-		if len(answer.Entries) > 0 || left <= 0 {
-			p.enterStore(r)
-			writeJSON(w, http.StatusOK, answer)
+		if len(result.Entries) > 0 || left <= 0 {
+			p.applyStoreFaults(r)
+			writeJSON(w, http.StatusOK, result)
 			return
 		}
-		if !p.waitForEntry(r, left, changed, faulted) {
+		if !p.waitForEntry(r, left, changed, faultsChanged) {
 			abort()
 		}
 	}
@@ -106,11 +106,12 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	log := p.log(name)
-	return platform.Entries{Entries: log.from(from), End: log.end()}, log.changed
+	return platform.Entries{Entries: log.entriesFrom(from), End: log.end()}, log.changed
 }
 
-// waitForEntry returns false when the read is to end without an answer.
-func (p *Platform) waitForEntry(r *http.Request, left time.Duration, changed, faulted <-chan struct{}) bool {
+// waitForEntry waits for an append or the end of the long poll. It returns false
+// if the read must be aborted without a response.
+func (p *Platform) waitForEntry(r *http.Request, left time.Duration, changed, faultsChanged <-chan struct{}) bool {
 	timer := time.NewTimer(left)
 	defer timer.Stop()
 	select {
@@ -118,7 +119,7 @@
 		return false
 	case <-p.done:
 		return false
-	case <-faulted:
+	case <-faultsChanged:
 		return !p.faults.active(FaultStoreDown)
 	case <-changed:
 		return true
@@ -127,9 +128,9 @@
 	}
 }
 
-// enterStore applies the faults store_slow and store_down to a call of the log
-// or of the weight store.
-func (p *Platform) enterStore(r *http.Request) {
+// applyStoreFaults applies FaultStoreSlow and FaultStoreDown to a call to the log
+// or the weight store.
+func (p *Platform) applyStoreFaults(r *http.Request) {
 	if delay := p.faults.milliseconds(FaultStoreSlow); delay > 0 && !sleep(r.Context(), delay, p.done) {
 		abort()
 	}
--- a/internal/standin/pipe_test.go
+++ b/internal/standin/pipe_test.go
@@ -12,24 +12,24 @@
 	"dalehook/internal/platform"
 )
 
-// pipes is a network in memory. Its connections block only in ways that
-// testing/synctest knows, so that tests run on a virtual clock.
-type pipes struct {
+// pipeNetwork is an in-memory network. Its connections block only in ways that
+// testing/synctest recognizes, so that tests run on a virtual clock.
+type pipeNetwork struct {
 	mu        sync.Mutex
 	listeners map[string]*pipeListener
 }
 
-func (p *pipes) dial(ctx context.Context, _, address string) (net.Conn, error) {
+func (p *pipeNetwork) dial(ctx context.Context, _, address string) (net.Conn, error) {
 	p.mu.Lock()
 	listener, ok := p.listeners[address]
 	p.mu.Unlock()
 	if !ok {
 		return nil, errors.New("connection refused")
 	}
-	near, far := net.Pipe()
+	clientConn, serverConn := net.Pipe()
 	select {
-	case listener.conns <- far:
-		return near, nil
+	case listener.conns <- serverConn:
+		return clientConn, nil
 	case <-listener.closed:
 		return nil, errors.New("connection refused")
 	case <-ctx.Done():
@@ -38,7 +38,7 @@
 }
 
 // serve serves a handler at an address until the test ends.
-func (p *pipes) serve(t *testing.T, address string, handler http.Handler) {
+func (p *pipeNetwork) serve(t *testing.T, address string, handler http.Handler) {
 	t.Helper()
 	listener := &pipeListener{address: address, conns: make(chan net.Conn), closed: make(chan struct{})}
 	p.mu.Lock()
@@ -56,19 +56,19 @@
 	})
 }
 
-func (p *pipes) engineClient(t *testing.T) *backend.EngineClient {
+func (p *pipeNetwork) engineClient(t *testing.T) *backend.EngineClient {
 	client := backend.NewEngineClient(backend.Options{Dial: p.dial})
 	t.Cleanup(client.Close)
 	return client
 }
 
-func (p *pipes) serviceClient(t *testing.T) *backend.ServiceClient {
+func (p *pipeNetwork) serviceClient(t *testing.T) *backend.ServiceClient {
 	client := backend.NewServiceClient(backend.Options{Dial: p.dial})
 	t.Cleanup(client.Close)
 	return client
 }
 
-func (p *pipes) platformClient(t *testing.T, address string) *platform.Client {
+func (p *pipeNetwork) platformClient(t *testing.T, address string) *platform.Client {
 	client := platform.NewClient(platform.Options{LogURL: "http://" + address, Dial: p.dial})
 	t.Cleanup(client.Close)
 	return client
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -1,6 +1,6 @@
-// Package standin holds small stand-ins for what surrounds dalehook: the
-// platform, model engines and service servers, as real HTTP servers with faults
-// that are switched on over HTTP. They serve tests, demos and measurements.
+// Package standin implements stand-ins for the systems that dalehook depends on:
+// the platform, model engines and service servers. They are HTTP servers with
+// faults that are injected over HTTP, for tests, demos and benchmarks.
 package standin
 
 import (
@@ -21,30 +21,30 @@
 
 // PlatformOptions configure a Platform. Zero values take the defaults.
 type PlatformOptions struct {
-	// ListLag is how long a change of the machine list stays unseen.
+	// ListLag is the delay before a change of the machine list becomes visible.
 	ListLag time.Duration
-	// WeightsRate is the number of weight fetches a second, zero for no limit.
+	// WeightsRate limits weight fetches per second; zero means no limit.
 	WeightsRate float64
-	// WeightsBurst is the number of fetches allowed at once, at least one.
+	// WeightsBurst is the burst size of the fetch limit, at least one.
 	WeightsBurst int
 }
 
-// Platform stands in for the log service, the weight store and the machine list.
+// Platform simulates the log service, the weight store and the machine list.
 type Platform struct {
-	faults  *faults
-	limiter *rate.Limiter
-	done    chan struct{}
-	close   sync.Once
+	faults    *faults
+	limiter   *rate.Limiter
+	done      chan struct{}
+	closeOnce sync.Once
 
 	mu       sync.Mutex
 	logs     map[string]*memoryLog
 	machines map[cluster.BackendID]cluster.Machine
-	visible  delayed[[]cluster.Machine]
+	visible  delayedValue[[]cluster.Machine]
 	weights  map[weightsKey][]byte
 }
 
-// weightsKey names the weights of one version. The empty model stands for the
-// newest put of the version.
+// weightsKey identifies the weights of a version. With an empty model it refers
+// to the most recent upload of that version for any model.
 type weightsKey struct {
 	model   cluster.ModelName
 	version string
@@ -69,13 +69,13 @@
 		machines: make(map[cluster.BackendID]cluster.Machine),
 		weights:  make(map[weightsKey][]byte),
 	}
-	p.visible.put(time.Now(), []cluster.Machine{})
+	p.visible.set(time.Now(), []cluster.Machine{})
 	p.faults.values[FaultListLag] = float64(options.ListLag.Milliseconds())
 	return p
 }
 
-// Close ends waiting reads.
-func (p *Platform) Close() { p.close.Do(func() { close(p.done) }) }
+// Close aborts pending long polls.
+func (p *Platform) Close() { p.closeOnce.Do(func() { close(p.done) }) }
 
 // Handler returns the platform's HTTP interface.
 func (p *Platform) Handler() http.Handler {
@@ -86,7 +86,7 @@
 	router.PUT("/machines/:id", p.putMachine)
 	router.PUT("/weights/:model/:version", p.putWeights)
 	router.GET("/weights/:model/:version", p.getWeights)
-	router.GET("/weights/:model", p.getAnyWeights)
+	router.GET("/weights/:model", p.getNewestWeights)
 	router.Handler(http.MethodPost, "/faults", p.faults)
 	return router
 }
@@ -111,12 +111,12 @@
 	defer p.mu.Unlock()
 	p.machines[machine.ID] = machine
 	list := slices.SortedFunc(maps.Values(p.machines), func(a, b cluster.Machine) int { return cmp.Compare(a.ID, b.ID) })
-	p.visible.put(time.Now(), list)
+	p.visible.set(time.Now(), list)
 	w.WriteHeader(http.StatusNoContent)
 }
 
 func (p *Platform) putWeights(w http.ResponseWriter, r *http.Request, params httprouter.Params) {
-	p.enterStore(r)
+	p.applyStoreFaults(r)
 	version := params.ByName("version")
 	if _, err := strconv.ParseInt(version, 10, 64); err != nil {
 		badRequest("version is not a number").write(w)
@@ -134,26 +134,26 @@
 }
 
 func (p *Platform) getWeights(w http.ResponseWriter, r *http.Request, params httprouter.Params) {
-	p.enterStore(r)
-	p.sendWeights(w, weightsKey{
+	p.applyStoreFaults(r)
+	p.writeWeights(w, weightsKey{
 		model:   cluster.ModelName(params.ByName("model")),
 		version: params.ByName("version"),
 	})
 }
 
-// getAnyWeights answers GET /weights/{version}; the router wants the parameter
-// to have the same name as in the longer path.
-func (p *Platform) getAnyWeights(w http.ResponseWriter, r *http.Request, params httprouter.Params) {
-	p.enterStore(r)
-	p.sendWeights(w, weightsKey{version: params.ByName("model")})
+// getNewestWeights handles GET /weights/{version}. The parameter is named "model"
+// because the router requires the same name as in the longer path.
+func (p *Platform) getNewestWeights(w http.ResponseWriter, r *http.Request, params httprouter.Params) {
+	p.applyStoreFaults(r)
+	p.writeWeights(w, weightsKey{version: params.ByName("model")})
 }
 
-func (p *Platform) sendWeights(w http.ResponseWriter, key weightsKey) {
+func (p *Platform) writeWeights(w http.ResponseWriter, key weightsKey) {
 	now := time.Now()
 	reservation := p.limiter.ReserveN(now, 1)
 	if delay := reservation.DelayFrom(now); delay > 0 {
 		reservation.CancelAt(now)
-		refusal{
+		errorResponse{
 			status:     http.StatusTooManyRequests,
 			code:       "rate_limited",
 			message:    "too many fetches",
@@ -165,7 +165,7 @@
 	weights, ok := p.weights[key]
 	p.mu.Unlock()
 	if !ok {
-		refusal{status: http.StatusNotFound, code: "unknown_version", message: "no such weights"}.write(w)
+		errorResponse{status: http.StatusNotFound, code: "unknown_version", message: "no such weights"}.write(w)
 		return
 	}
 	w.Header().Set("Content-Type", "application/octet-stream")
--- a/internal/standin/platform_test.go
+++ b/internal/standin/platform_test.go
@@ -13,13 +13,13 @@
 	"dalehook/internal/standin"
 )
 
-// withPlatform runs a test against a platform inside a synctest bubble.
-func withPlatform(t *testing.T, options standin.PlatformOptions, run func(t *testing.T, p *pipes, client *platform.Client)) {
+// withPlatform runs a test against a platform in a synctest bubble.
+func withPlatform(t *testing.T, options standin.PlatformOptions, run func(t *testing.T, p *pipeNetwork, client *platform.Client)) {
 	synctest.Test(t, func(t *testing.T) {
-		p := &pipes{}
-		stand := standin.NewPlatform(options)
-		t.Cleanup(stand.Close)
-		p.serve(t, platformAddress, stand.Handler())
+		p := &pipeNetwork{}
+		server := standin.NewPlatform(options)
+		t.Cleanup(server.Close)
+		p.serve(t, platformAddress, server.Handler())
 		run(t, p, p.platformClient(t, platformAddress))
 	})
 }
@@ -33,11 +33,11 @@
 }
 
 func TestLogKeepsOrder(t *testing.T) {
-	withPlatform(t, standin.PlatformOptions{}, func(t *testing.T, p *pipes, client *platform.Client) {
+	withPlatform(t, standin.PlatformOptions{}, func(t *testing.T, p *pipeNetwork, client *platform.Client) {
 		for want, payload := range []string{`{"a":1}`, `2`, `"three"`} {
 			offset, outcome, err := client.Append(t.Context(), "control", []byte(payload))
 			if offset != uint64(want+1) || outcome != machine.AppendDone || err != nil {
-				t.Errorf("append gave %d, %d, %v", offset, outcome, err)
+				t.Errorf("append: offset %d, outcome %d, %v", offset, outcome, err)
 			}
 		}
 		entries, end, err := client.Read(t.Context(), "control", 2, 0)
@@ -48,19 +48,19 @@
 			t.Error(diff)
 		}
 		if entries, end, err := client.Read(t.Context(), "step.x", 1, 0); len(entries) != 0 || end != 0 || err != nil {
-			t.Errorf("an unused log has %d entries, end %d, %v", len(entries), end, err)
+			t.Errorf("unused log has %d entries, end %d, %v", len(entries), end, err)
 		}
 	})
 }
 
-func TestLongPollEndsWithAnEntry(t *testing.T) {
-	withPlatform(t, standin.PlatformOptions{}, func(t *testing.T, p *pipes, client *platform.Client) {
+func TestLongPollReturnsOnAppend(t *testing.T) {
+	withPlatform(t, standin.PlatformOptions{}, func(t *testing.T, p *pipeNetwork, client *platform.Client) {
 		begun := time.Now()
 		if entries, _, err := client.Read(t.Context(), "l", 1, 20*time.Second); len(entries) != 0 || err != nil {
 			t.Errorf("%d entries, %v", len(entries), err)
 		}
 		if waited := time.Since(begun); waited != 20*time.Second {
-			t.Errorf("an empty read waited %v", waited)
+			t.Errorf("read of an empty log waited %v", waited)
 		}
 		read := make(chan []platform.Entry)
 		go func() {
@@ -85,21 +85,21 @@
 		address string
 		payload string
 		want    machine.AppendOutcome
-		stands  bool
+		stored  bool
 	}{
-		{name: "done", payload: `1`, want: machine.AppendDone, stands: true},
-		{name: "refused", payload: `{`, want: machine.AppendNotDone},
+		{name: "done", payload: `1`, want: machine.AppendDone, stored: true},
+		{name: "malformed payload", payload: `{`, want: machine.AppendNotDone},
 		{name: "no connection", address: "nobody:80", payload: `1`, want: machine.AppendNotDone},
-		{name: "answer lost", fault: standin.FaultAppendAnswerLost, value: "1", payload: `1`, want: machine.AppendUnknown, stands: true},
+		{name: "response lost", fault: standin.FaultAppendAnswerLost, value: "1", payload: `1`, want: machine.AppendUnknown, stored: true},
 		{name: "store down", fault: standin.FaultStoreDown, value: "1", payload: `1`, want: machine.AppendUnknown},
-		// The log takes the payload after the client gave up.
-		{name: "too slow", fault: standin.FaultStoreSlow, value: "6000", payload: `1`, want: machine.AppendUnknown, stands: true},
+		// The append takes effect after the client's timeout.
+		{name: "too slow", fault: standin.FaultStoreSlow, value: "6000", payload: `1`, want: machine.AppendUnknown, stored: true},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			withPlatform(t, standin.PlatformOptions{}, func(t *testing.T, p *pipes, client *platform.Client) {
+			withPlatform(t, standin.PlatformOptions{}, func(t *testing.T, p *pipeNetwork, client *platform.Client) {
 				if test.fault != "" {
-					postJSON(t, p, platformAddress, "/faults", fault(test.fault, test.value))
+					postJSON(t, p, platformAddress, "/faults", newFault(test.fault, test.value))
 				}
 				appender := client
 				if test.address != "" {
@@ -110,9 +110,9 @@
 					t.Errorf("outcome %d, %v", outcome, err)
 				}
 				time.Sleep(time.Minute)
-				postJSON(t, p, platformAddress, "/faults", fault(standin.FaultStoreSlow, "0"))
+				postJSON(t, p, platformAddress, "/faults", newFault(standin.FaultStoreSlow, "0"))
 				entries, _, err := client.Read(t.Context(), "l", 1, 0)
-				if err != nil || (len(entries) == 1) != test.stands {
+				if err != nil || (len(entries) == 1) != test.stored {
 					t.Errorf("%d entries, %v", len(entries), err)
 				}
 			})
@@ -120,23 +120,23 @@
 	}
 }
 
-func TestStoreDownEndsALongPoll(t *testing.T) {
-	withPlatform(t, standin.PlatformOptions{}, func(t *testing.T, p *pipes, client *platform.Client) {
+func TestStoreDownAbortsLongPoll(t *testing.T) {
+	withPlatform(t, standin.PlatformOptions{}, func(t *testing.T, p *pipeNetwork, client *platform.Client) {
 		failed := make(chan error)
 		go func() {
 			_, _, err := client.Read(t.Context(), "l", 1, time.Hour)
 			failed <- err
 		}()
 		synctest.Wait()
-		postJSON(t, p, platformAddress, "/faults", fault(standin.FaultStoreDown, "30"))
+		postJSON(t, p, platformAddress, "/faults", newFault(standin.FaultStoreDown, "30"))
 		if err := <-failed; err == nil {
-			t.Error("the read went on")
+			t.Error("read succeeded while the store was down")
 		}
 	})
 }
 
 func TestMachineListLags(t *testing.T) {
-	withPlatform(t, standin.PlatformOptions{ListLag: 5 * time.Second}, func(t *testing.T, p *pipes, client *platform.Client) {
+	withPlatform(t, standin.PlatformOptions{ListLag: 5 * time.Second}, func(t *testing.T, p *pipeNetwork, client *platform.Client) {
 		want := cluster.Machine{
 			ID:          "e1",
 			Kind:        cluster.KindEngine,
--- a/internal/standin/prefix_cache.go
+++ b/internal/standin/prefix_cache.go
@@ -8,19 +8,20 @@
 )
 
 const (
-	// eventGap loses each event whose sequence is a multiple of it.
-	eventGap = 7
-	// maxCacheEvents bounds the feed; older events are lost.
+	// lostEventInterval drops every event whose sequence number is a multiple of
+	// it, so that consumers see gaps.
+	lostEventInterval = 7
+	// maxCacheEvents bounds the feed; older events are discarded.
 	maxCacheEvents = 1024
 )
 
-// prefixCache holds the prefix groups whose KV cache is in memory, least
-// recently used first, and the feed of what came and went.
+// prefixCache holds the prefix groups whose KV cache is in memory, in least
+// recently used order, and the feed of stored and evicted groups.
 type prefixCache struct {
-	limit    int
-	groups   []cachedGroup
-	sequence uint64
-	feed     []datedValue[backend.CacheEvent]
+	maxGroups int
+	groups    []cachedGroup
+	sequence  uint64
+	feed      []timestamped[backend.CacheEvent]
 }
 
 type cachedGroup struct {
@@ -28,8 +29,9 @@
 	tokens int
 }
 
-// use puts a group at the newest place and reports whether it was cached.
-func (c *prefixCache) use(now time.Time, name string, tokens int) bool {
+// touch marks a group as most recently used, adds it if missing, and reports
+// whether it was cached.
+func (c *prefixCache) touch(now time.Time, name string, tokens int) bool {
 	index := slices.IndexFunc(c.groups, func(g cachedGroup) bool { return g.name == name })
 	if index >= 0 {
 		group := c.groups[index]
@@ -38,7 +40,7 @@
 	}
 	c.groups = append(c.groups, cachedGroup{name: name, tokens: tokens})
 	c.record(now, backend.CacheStored, name)
-	if len(c.groups) > c.limit {
+	if len(c.groups) > c.maxGroups {
 		c.record(now, backend.CacheEvicted, c.groups[0].name)
 		c.groups = slices.Delete(c.groups, 0, 1)
 	}
@@ -47,17 +49,17 @@
 
 func (c *prefixCache) record(now time.Time, kind, group string) {
 	c.sequence++
-	if c.sequence%eventGap == 0 {
+	if c.sequence%lostEventInterval == 0 {
 		return
 	}
 	event := backend.CacheEvent{Sequence: c.sequence, Kind: kind, Group: group}
-	c.feed = append(c.feed, datedValue[backend.CacheEvent]{at: now, value: event})
+	c.feed = append(c.feed, timestamped[backend.CacheEvent]{at: now, value: event})
 	if excess := len(c.feed) - maxCacheEvents; excess > 0 {
 		c.feed = slices.Delete(c.feed, 0, excess)
 	}
 }
 
-// events returns what happened before a time, from a sequence number on.
+// events returns the events up to a time, from a sequence number on.
 func (c *prefixCache) events(from uint64, before time.Time) backend.CacheEvents {
 	found := backend.CacheEvents{Events: []backend.CacheEvent{}, Next: 1}
 	for _, event := range c.feed {
--- a/internal/standin/register.go
+++ b/internal/standin/registrar.go
@@ -8,16 +8,16 @@
 	"dalehook/internal/platform"
 )
 
-// registerRetry is the time between two tries to register.
+// registerRetry is the pause between registration attempts.
 const registerRetry = 200 * time.Millisecond
 
-// registrar keeps a stand-in's line on the platform's machine list.
+// registrar maintains a stand-in's entry in the platform's machine list.
 type registrar struct {
 	client  *platform.Client
 	machine cluster.Machine
 }
 
-// newRegistrar returns nil when there is no platform to register at.
+// newRegistrar returns nil if no platform is configured.
 func newRegistrar(options platform.Options, machine cluster.Machine) *registrar {
 	if options.LogURL == "" {
 		return nil
@@ -28,7 +28,8 @@
 	}
 }
 
-// register puts the machine on the list in a state, and tries until it is done.
+// register registers the machine with a state and retries until it succeeds or
+// ctx ends.
 func (r *registrar) register(ctx context.Context, state cluster.MachineState) {
 	if r == nil {
 		return
@@ -48,8 +49,9 @@
 	}
 }
 
-// describe fills in what a stand-in's constructor knows of its machine.
-func describe(machine cluster.Machine, kind cluster.BackendKind) cluster.Machine {
+// completeMachine sets the kind, the state and, if missing, the incarnation of a
+// stand-in's machine entry.
+func completeMachine(machine cluster.Machine, kind cluster.BackendKind) cluster.Machine {
 	machine.Kind = kind
 	machine.State = cluster.StateLive
 	if machine.Incarnation == 0 {
--- a/internal/standin/answer.go
+++ b/internal/standin/response.go
@@ -11,13 +11,13 @@
 	"dalehook/internal/backend"
 )
 
-// bodyLimit is the largest request body in bytes.
-const bodyLimit = 32 << 20
+// maxBodyBytes bounds the body of a request.
+const maxBodyBytes = 32 << 20
 
-// abort closes the connection without an answer, or in the middle of one.
+// abort closes the connection without a response, or in the middle of one.
 func abort() { panic(http.ErrAbortHandler) }
 
-// writeJSON answers with a JSON body of a stated length.
+// writeJSON writes a JSON response with a Content-Length header.
 func writeJSON(w http.ResponseWriter, status int, body any) {
 	encoded, err := json.Marshal(body)
 	if err != nil {
@@ -29,15 +29,16 @@
 	_, _ = w.Write(encoded)
 }
 
-// refusal is an error answer. RetryAfter is zero for none.
-type refusal struct {
+// errorResponse is an HTTP error response. A zero retryAfter omits the
+// Retry-After header.
+type errorResponse struct {
 	status     int
 	code       string
 	message    string
 	retryAfter time.Duration
 }
 
-func (r refusal) write(w http.ResponseWriter) {
+func (r errorResponse) write(w http.ResponseWriter) {
 	if r.retryAfter > 0 {
 		seconds := math.Ceil(r.retryAfter.Seconds())
 		w.Header().Set("Retry-After", strconv.Itoa(int(seconds)))
@@ -49,12 +50,12 @@
 	}})
 }
 
-func badRequest(message string) refusal {
-	return refusal{status: http.StatusBadRequest, code: "bad_request", message: message}
+func badRequest(message string) errorResponse {
+	return errorResponse{status: http.StatusBadRequest, code: "bad_request", message: message}
 }
 
-// readJSON decodes a request's body into target, or answers 400 and returns
-// false.
+// readJSON decodes a request's body into target. On failure it responds with
+// status 400 and returns false.
 func readJSON(w http.ResponseWriter, r *http.Request, target any) bool {
 	body, ok := readBody(w, r)
 	if !ok {
@@ -67,9 +68,10 @@
 	return true
 }
 
-// readBody reads a request's body, or answers and returns false.
+// readBody reads a request's body. On failure it responds with status 400 and
+// returns false.
 func readBody(w http.ResponseWriter, r *http.Request) ([]byte, bool) {
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, bodyLimit))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	if err != nil {
 		badRequest("read the body: " + err.Error()).write(w)
 		return nil, false
@@ -77,7 +79,8 @@
 	return body, true
 }
 
-// queryUint reads a number from the query, zero when it is not there or wrong.
+// queryUint parses a query parameter as an unsigned integer; a missing or
+// malformed parameter yields zero.
 func queryUint(r *http.Request, name string) uint64 {
 	value, err := strconv.ParseUint(r.URL.Query().Get(name), 10, 64)
 	if err != nil {
--- a/internal/standin/server.go
+++ b/internal/standin/server.go
@@ -10,14 +10,14 @@
 	"github.com/sourcegraph/conc"
 )
 
-// readHeaderTimeout bounds the reading of a request's head.
+// readHeaderTimeout bounds the time to read request headers.
 const readHeaderTimeout = 10 * time.Second
 
-// relistenDelay is the time between two tries to take the address again.
+// relistenDelay is the pause between attempts to rebind the address.
 const relistenDelay = 20 * time.Millisecond
 
-// Server serves a stand-in on a TCP address. While it is down, as after a crash,
-// connections to the address are refused.
+// Server serves a stand-in on a TCP address. While it is down, for example after
+// a crash, connections to the address are refused.
 type Server struct {
 	address string
 	tasks   conc.WaitGroup
@@ -29,8 +29,9 @@
 	closed   bool
 }
 
-// Listen opens a listener without serving yet, so that the bound address can go
-// into the stand-in's options. An address such as 127.0.0.1:0 picks a free port.
+// Listen opens a listener without serving yet, so that the bound address can be
+// used in the stand-in's options. An address such as 127.0.0.1:0 picks a free
+// port.
 func Listen(address string) (*Server, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -45,7 +46,7 @@
 // URL returns the base URL.
 func (s *Server) URL() string { return "http://" + s.address }
 
-// Serve starts to serve a handler in the background.
+// Serve starts serving a handler in the background.
 func (s *Server) Serve(handler http.Handler) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -88,7 +89,8 @@
 	}
 }
 
-// tryUp reports whether nothing is left to do.
+// tryUp tries to listen again. It returns false if the address is still in use
+// and the call must be retried.
 func (s *Server) tryUp() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/standin/server_test.go
+++ b/internal/standin/server_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-func TestServerGoesDownAndComesBack(t *testing.T) {
+func TestServerRestarts(t *testing.T) {
 	server, err := Listen("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -28,7 +28,7 @@
 		change.do()
 		conn, err := net.Dial("tcp", server.Address())
 		if (err == nil) != change.reached {
-			t.Fatalf("dial gave %v, expected to reach the server: %t", err, change.reached)
+			t.Fatalf("dial: %v, want server reachable: %t", err, change.reached)
 		}
 		if err == nil {
 			conn.Close()
--- a/internal/standin/service.go
+++ b/internal/standin/service.go
@@ -21,23 +21,24 @@
 
 // ServiceOptions configure a Service. Zero values take the defaults.
 type ServiceOptions struct {
-	// Machine is the server's line on the machine list: id, pool (the service's
-	// name), zone, region and address. Kind and State are set by NewService.
+	// Machine is the server's entry in the machine list: id, pool (the service's
+	// name), zone, region and address. NewService sets Kind and State.
 	Machine cluster.Machine
-	// Server, when set, goes down during a crash; otherwise the handler drops
+	// Server, if set, goes down during a crash; otherwise the handler drops
 	// each connection.
 	Server *Server
 	// Dial opens connections to the platform; nil means TCP.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
-	// PlatformURL is where the server registers, empty for nowhere.
+	// PlatformURL is the base URL of the platform at which the server registers;
+	// if empty, it doesn't register.
 	PlatformURL string
-	// ServiceTime is the time that one request runs.
+	// ServiceTime is the execution time of one request.
 	ServiceTime time.Duration
-	// Concurrency is the number of requests that run at once, QueueLimit that
-	// of waiting ones.
+	// Concurrency is the maximum number of requests executed at once, QueueLimit
+	// that of waiting requests.
 	Concurrency int
 	QueueLimit  int
-	// PayloadBytes is the size of the filler in each answer.
+	// PayloadBytes is the size of the filler payload in each response.
 	PayloadBytes int
 }
 
@@ -54,18 +55,18 @@
 	if o.QueueLimit <= 0 {
 		o.QueueLimit = DefaultServiceQueueLimit
 	}
-	o.Machine = describe(o.Machine, cluster.KindService)
+	o.Machine = completeMachine(o.Machine, cluster.KindService)
 	return o
 }
 
-// refusedRetryAfter is the time to come back that refusals state.
-const refusedRetryAfter = 500 * time.Millisecond
+// rejectedRetryAfter is the Retry-After value of rejected requests.
+const rejectedRetryAfter = 500 * time.Millisecond
 
-// headerIdempotencyKey names a request.
+// headerIdempotencyKey carries the client's key of a request.
 const headerIdempotencyKey = "Idempotency-Key"
 
-// ServiceAnswer is the body of each answer to a lookup or a save.
-type ServiceAnswer struct {
+// ServiceResponse is the body of each response to a lookup or a save.
+type ServiceResponse struct {
 	Server     cluster.BackendID `json:"server"`
 	Key        string            `json:"key"`
 	Path       string            `json:"path"`
@@ -73,7 +74,7 @@
 	Payload    string            `json:"payload,omitempty"`
 }
 
-// Service stands in for a service server: any path, lookups and saves.
+// Service simulates a service server. It accepts lookups and saves on any path.
 type Service struct {
 	options    ServiceOptions
 	faults     *faults
@@ -86,11 +87,11 @@
 	running int
 	waiting int
 	leaving bool
-	// crashed is closed and replaced when the server crashes.
+	// crashed is closed and replaced on every crash.
 	crashed chan struct{}
 }
 
-// NewService returns a running service server.
+// NewService starts a service server.
 func NewService(options ServiceOptions) *Service {
 	options = options.withDefaults()
 	s := &Service{
@@ -110,19 +111,19 @@
 		counts:     make(map[string]int),
 		crashed:    make(chan struct{}),
 	}
-	s.faults.onSet = s.faultSet
+	s.faults.onSet = s.onFaultSet
 	s.background.run(func() { s.registrar.register(s.background.ctx, cluster.StateLive) })
 	return s
 }
 
-// Close ends waiting requests and the server's goroutines.
+// Close aborts pending requests and stops the server's goroutines.
 func (s *Service) Close() {
 	s.background.close()
 	s.registrar.close()
 }
 
-// Handler returns the server's HTTP interface. What is not an operator's path is
-// a lookup or a save.
+// Handler returns the server's HTTP interface. Any path that is not a control
+// path is a lookup or a save.
 func (s *Service) Handler() http.Handler {
 	router := httprouter.New()
 	router.RedirectTrailingSlash = false
@@ -162,8 +163,8 @@
 	w.WriteHeader(http.StatusAccepted)
 }
 
-// faultSet reacts to a crash: what runs is lost.
-func (s *Service) faultSet(name FaultName, value float64) {
+// onFaultSet applies a crash: running and waiting requests are aborted.
+func (s *Service) onFaultSet(name FaultName, value float64) {
 	if name != FaultCrash || value == 0 {
 		return
 	}
@@ -174,39 +175,39 @@
 	s.background.run(func() { crashServer(s.background.ctx, s.options.Server, s.faults) })
 }
 
-// crashServer takes a server down until the crash is over.
+// crashServer takes the server down until the crash fault is over.
 func crashServer(ctx context.Context, server *Server, faults *faults) {
 	if server == nil {
 		return
 	}
 	server.down()
-	if faults.waitOver(ctx, FaultCrash) {
+	if faults.awaitEnd(ctx, FaultCrash) {
 		server.up()
 	}
 }
 
-// serve runs one lookup or save.
+// serve handles a lookup or a save.
 func (s *Service) serve(w http.ResponseWriter, r *http.Request) {
 	body, ok := readBody(w, r)
 	if !ok {
 		return
 	}
-	if s.faults.take(FaultDropBefore) {
+	if s.faults.consume(FaultDropBefore) {
 		abort()
 	}
 	crashed, admitted := s.admit(r)
 	if !admitted {
-		s.refuse(w)
+		s.reject(w)
 		return
 	}
 	s.run(r, crashed)
-	if s.faults.take(FaultDropAfter) {
+	if s.faults.consume(FaultDropAfter) {
 		abort()
 	}
-	s.answer(w, r, body)
+	s.respond(w, r, body)
 }
 
-// admit waits for a slot. It returns false when the request does not run.
+// admit waits for a slot. It returns false if the request is rejected.
 func (s *Service) admit(r *http.Request) (crashed <-chan struct{}, admitted bool) {
 	if s.faults.active(FaultRefuse) {
 		return nil, false
@@ -219,11 +220,11 @@
 	}
 	s.waiting++
 	s.mu.Unlock()
-	taken := s.takeSlot(r, crashed)
+	acquired := s.acquireSlot(r, crashed)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.waiting--
-	if !taken {
+	if !acquired {
 		abort()
 	}
 	s.running++
@@ -231,7 +232,7 @@
 	return crashed, true
 }
 
-func (s *Service) takeSlot(r *http.Request, crashed <-chan struct{}) bool {
+func (s *Service) acquireSlot(r *http.Request, crashed <-chan struct{}) bool {
 	select {
 	case s.slots <- struct{}{}:
 		return true
@@ -242,8 +243,8 @@
 	return false
 }
 
-// run takes the service time. A request that has begun runs to its end even when
-// its caller is gone, as a save in a database would.
+// run waits for the service time. A request that has started runs to its end even
+// if the client has disconnected, as a database write would.
 func (s *Service) run(r *http.Request, crashed <-chan struct{}) {
 	defer s.release()
 	duration := s.options.ServiceTime + s.faults.milliseconds(FaultSlow)
@@ -256,7 +257,7 @@
 	case <-s.background.ctx.Done():
 		abort()
 	}
-	if !s.faults.waitOver(r.Context(), FaultFreeze) {
+	if !s.faults.awaitEnd(r.Context(), FaultFreeze) {
 		abort()
 	}
 }
@@ -268,19 +269,19 @@
 	<-s.slots
 }
 
-func (s *Service) refuse(w http.ResponseWriter) {
-	s.writeState(w)
+func (s *Service) reject(w http.ResponseWriter) {
+	s.writeLoadHeaders(w)
 	w.Header().Set(backend.HeaderNotRun, "true")
-	refusal{
+	errorResponse{
 		status:     http.StatusServiceUnavailable,
 		code:       "refused",
 		message:    "the server takes no new work",
-		retryAfter: refusedRetryAfter,
+		retryAfter: rejectedRetryAfter,
 	}.write(w)
 }
 
-// writeState puts the server's load and leaving on an answer.
-func (s *Service) writeState(w http.ResponseWriter) {
+// writeLoadHeaders sets the response headers for load and leaving.
+func (s *Service) writeLoadHeaders(w http.ResponseWriter) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	w.Header().Set(backend.HeaderLoad, strconv.Itoa(s.running+s.waiting))
@@ -289,9 +290,9 @@
 	}
 }
 
-func (s *Service) answer(w http.ResponseWriter, r *http.Request, body []byte) {
+func (s *Service) respond(w http.ResponseWriter, r *http.Request, body []byte) {
 	digest := sha256.Sum256(body)
-	encoded, err := json.Marshal(ServiceAnswer{
+	encoded, err := json.Marshal(ServiceResponse{
 		Server:     s.options.Machine.ID,
 		Key:        r.Header.Get(headerIdempotencyKey),
 		Path:       r.URL.RequestURI(),
@@ -301,10 +302,10 @@
 	if err != nil {
 		abort()
 	}
-	s.writeState(w)
+	s.writeLoadHeaders(w)
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Length", strconv.Itoa(len(encoded)))
-	if s.faults.take(FaultTruncate) {
+	if s.faults.consume(FaultTruncate) {
 		_, _ = w.Write(encoded[:len(encoded)/2])
 		_ = http.NewResponseController(w).Flush()
 		abort()
@@ -312,7 +313,8 @@
 	_, _ = w.Write(encoded)
 }
 
-// countKey names a request in GET /counts.
+// countKey returns the key of a request in GET /counts: its idempotency key, or
+// else its path.
 func countKey(r *http.Request) string {
 	if key := r.Header.Get(headerIdempotencyKey); key != "" {
 		return key
--- a/internal/standin/service_test.go
+++ b/internal/standin/service_test.go
@@ -19,7 +19,7 @@
 
 const serviceAddress = "service:80"
 
-func save(key string) backend.ServiceRequest {
+func newSave(key string) backend.ServiceRequest {
 	return backend.ServiceRequest{
 		Address: serviceAddress,
 		Method:  http.MethodPost,
@@ -29,10 +29,10 @@
 	}
 }
 
-// withService runs a test against a service server inside a synctest bubble.
-func withService(t *testing.T, options standin.ServiceOptions, run func(t *testing.T, p *pipes)) {
+// withService runs a test against a service server in a synctest bubble.
+func withService(t *testing.T, options standin.ServiceOptions, run func(t *testing.T, p *pipeNetwork)) {
 	synctest.Test(t, func(t *testing.T) {
-		p := &pipes{}
+		p := &pipeNetwork{}
 		options.Machine.ID = "portal-1"
 		service := standin.NewService(options)
 		t.Cleanup(service.Close)
@@ -41,17 +41,17 @@
 	})
 }
 
-func TestServiceEchoesTheRequest(t *testing.T) {
-	withService(t, standin.ServiceOptions{PayloadBytes: 3}, func(t *testing.T, p *pipes) {
-		result := p.serviceClient(t).Send(t.Context(), save("k1"))
+func TestServiceEchoesRequest(t *testing.T) {
+	withService(t, standin.ServiceOptions{PayloadBytes: 3}, func(t *testing.T, p *pipeNetwork) {
+		result := p.serviceClient(t).Send(t.Context(), newSave("k1"))
 		if result.Outcome != machine.SendAnswered || result.Load != 0 || result.Leaving {
 			t.Fatalf("got %+v", result)
 		}
-		var got standin.ServiceAnswer
+		var got standin.ServiceResponse
 		if err := json.Unmarshal(result.Response.Body, &got); err != nil {
 			t.Fatal(err)
 		}
-		want := standin.ServiceAnswer{
+		want := standin.ServiceResponse{
 			Server:     "portal-1",
 			Key:        "k1",
 			Path:       "/answers//7/?page=2",
@@ -73,7 +73,7 @@
 	}{
 		{fault: standin.FaultSlow, value: "100", want: machine.SendAnswered, runs: 1},
 		{fault: standin.FaultFreeze, value: "1", want: machine.SendAnswered, runs: 1},
-		// The server runs the request after the caller gave up.
+		// The server executes the request after the client's timeout.
 		{fault: standin.FaultFreeze, value: "100", want: machine.SendUnknown, runs: 1},
 		{fault: standin.FaultSlow, value: "60000", want: machine.SendUnknown, runs: 1},
 		{fault: standin.FaultDropBefore, value: "1", want: machine.SendUnknown},
@@ -84,17 +84,17 @@
 	}
 	for _, test := range tests {
 		t.Run(string(test.fault)+" "+test.value, func(t *testing.T) {
-			withService(t, standin.ServiceOptions{ServiceTime: time.Millisecond}, func(t *testing.T, p *pipes) {
-				postJSON(t, p, serviceAddress, "/faults", fault(test.fault, test.value))
+			withService(t, standin.ServiceOptions{ServiceTime: time.Millisecond}, func(t *testing.T, p *pipeNetwork) {
+				postJSON(t, p, serviceAddress, "/faults", newFault(test.fault, test.value))
 				client := p.serviceClient(t)
-				request := save("k1")
+				request := newSave("k1")
 				request.Deadline = time.Now().Add(10 * time.Second)
 				if got := client.Send(t.Context(), request); got.Outcome != test.want {
 					t.Errorf("got %+v", got)
 				}
 				time.Sleep(200 * time.Second)
-				postJSON(t, p, serviceAddress, "/faults", fault(standin.FaultSlow, "0"))
-				if got := client.Send(t.Context(), save("k2")); got.Outcome != machine.SendAnswered {
+				postJSON(t, p, serviceAddress, "/faults", newFault(standin.FaultSlow, "0"))
+				if got := client.Send(t.Context(), newSave("k2")); got.Outcome != machine.SendAnswered {
 					t.Errorf("after the fault: %+v", got)
 				}
 				want := map[string]int{"k2": 1}
@@ -112,13 +112,13 @@
 }
 
 func TestLeavingServiceRefusesNewWork(t *testing.T) {
-	withService(t, standin.ServiceOptions{ServiceTime: time.Minute}, func(t *testing.T, p *pipes) {
+	withService(t, standin.ServiceOptions{ServiceTime: time.Minute}, func(t *testing.T, p *pipeNetwork) {
 		running := make(chan machine.ServiceResult)
 		client := p.serviceClient(t)
-		go func() { running <- client.Send(t.Context(), save("early")) }()
+		go func() { running <- client.Send(t.Context(), newSave("early")) }()
 		synctest.Wait()
 		postJSON(t, p, serviceAddress, "/leave", struct{}{})
-		late := client.Send(t.Context(), save("late"))
+		late := client.Send(t.Context(), newSave("late"))
 		if late.Outcome != machine.SendRefused || !late.Leaving || late.Load != 1 {
 			t.Errorf("late: %+v", late)
 		}
@@ -134,13 +134,13 @@
 	})
 }
 
-func TestServiceRunsSoManyAtOnce(t *testing.T) {
+func TestServiceLimitsConcurrency(t *testing.T) {
 	options := standin.ServiceOptions{ServiceTime: time.Second, Concurrency: 2, QueueLimit: 4}
-	withService(t, options, func(t *testing.T, p *pipes) {
+	withService(t, options, func(t *testing.T, p *pipeNetwork) {
 		client := p.serviceClient(t)
 		results := make(chan machine.ServiceResult, 7)
 		for range cap(results) {
-			go func() { results <- client.Send(t.Context(), save("k")) }()
+			go func() { results <- client.Send(t.Context(), newSave("k")) }()
 			synctest.Wait()
 		}
 		took := map[time.Duration]int{}
@@ -183,7 +183,7 @@
 	}
 	client := backend.NewServiceClient(backend.Options{})
 	defer client.Close()
-	request := save("k")
+	request := newSave("k")
 	request.Address = server.Address()
 	if got := client.Send(t.Context(), request); got.Outcome != machine.SendNotSent {
 		t.Errorf("got %+v", got)
--- a/internal/traffic/callers.go
+++ b/internal/traffic/callers.go
@@ -197,7 +197,7 @@
 		if answer.Status != http.StatusOK {
 			return fmt.Sprintf("status %d: %s", answer.Status, answer.Body)
 		}
-		var echo standin.ServiceAnswer
+		var echo standin.ServiceResponse
 		if err := json.Unmarshal(answer.Body, &echo); err != nil {
 			return "answer is no JSON: " + err.Error()
 		}
--- a/internal/traffic/ledger.go
+++ b/internal/traffic/ledger.go
@@ -107,8 +107,8 @@
 	if sample.Error != nil {
 		return "ended with " + sample.Error.Code + ": " + sample.Error.Message
 	}
-	tokens := standin.AnswerLength(posted.Prompt, posted.MaxTokens)
-	if sample.Text != standin.AnswerText(posted.Prompt, 0, tokens) {
+	tokens := standin.CompletionLength(posted.Prompt, posted.MaxTokens)
+	if sample.Text != standin.CompletionText(posted.Prompt, 0, tokens) {
 		return "its text is not the whole answer to its prompt"
 	}
 	next := 0
--- a/internal/traffic/ledger_test.go
+++ b/internal/traffic/ledger_test.go
@@ -16,10 +16,10 @@
 // answerTo returns what a node should hand over for a sample, all of it made by
 // one version.
 func answerTo(sample record.Sample, version cluster.Version) machine.SampleView {
-	tokens := standin.AnswerLength(sample.Prompt, sample.MaxTokens)
+	tokens := standin.CompletionLength(sample.Prompt, sample.MaxTokens)
 	return machine.SampleView{
 		ID:       sample.ID,
-		Text:     standin.AnswerText(sample.Prompt, 0, tokens),
+		Text:     standin.CompletionText(sample.Prompt, 0, tokens),
 		Versions: []record.Segment{{Version: version, FromToken: 0, ToToken: tokens}},
 	}
 }
@@ -80,7 +80,7 @@
 				return views
 			},
 			want: SampleCounts{Steps: 1, Samples: 2, Delivered: 1, Lost: 1,
-				Faults: []string{fmt.Sprintf("step s: sample a: broken version segments [{3 1 %d}]", standin.AnswerLength("first", 100))}},
+				Faults: []string{fmt.Sprintf("step s: sample a: broken version segments [{3 1 %d}]", standin.CompletionLength("first", 100))}},
 		},
 		{
 			name: "never posted",
--- a/internal/traffic/trainer.go
+++ b/internal/traffic/trainer.go
@@ -111,7 +111,7 @@
 func promptFor(group string, speaker, tokens int) string {
 	for take := 1; ; take++ {
 		prompt := fmt.Sprintf("Council hearing, recording %s. Speaker %d, take %d.", group, speaker, take)
-		if standin.AnswerLength(prompt, tokens) >= tokens {
+		if standin.CompletionLength(prompt, tokens) >= tokens {
 			return prompt
 		}
 	}
