--- a/cmd/dalehook/failure_backend_test.go
+++ b/cmd/dalehook/failure_backend_test.go
@@ -114,7 +114,7 @@
 		w.postTo(b.address, "/leave", struct{}{})
 	}
 	limit := time.Now().Add(leaveLimit)
-	traffic.Pause(w.ctx, time.Until(limit))
+	traffic.Sleep(w.ctx, time.Until(limit))
 	l.awaitWork(2, 300)
 	for _, b := range leaving {
 		if late := b.tap.arrivedAfter(limit); len(late) > 0 {
--- a/cmd/dalehook/failure_load_test.go
+++ b/cmd/dalehook/failure_load_test.go
@@ -120,7 +120,7 @@
 func (l *load) runAnnouncer() {
 	version := cluster.Version(2)
 	for !l.stopped() {
-		traffic.Pause(l.w.ctx, announceEvery)
+		traffic.Sleep(l.w.ctx, announceEvery)
 		if !l.stopped() && !l.sameVersion.Load() && l.w.announceVersion(version) == nil {
 			version++
 		}
@@ -140,7 +140,7 @@
 			l.w.fault("post %s: %v", step.Step, err)
 			return
 		}
-		l.w.ledger.Posted(step, stalenessBound)
+		l.w.ledger.RecordStep(step, stalenessBound)
 		if err := l.readStep(&turn, step.Step, ""); err != nil {
 			l.w.fault("read %s: %v", step.Step, err)
 			return
@@ -189,7 +189,7 @@
 		var page client.Page
 		newest := cluster.Version(0)
 		err := l.try(turn, func(node *client.Client) (err error) {
-			newest = l.w.ledger.Newest()
+			newest = l.w.ledger.NewestVersion()
 			page, err = node.ReadSamples(l.w.ctx, client.Read{Step: step, After: cursor, Wait: time.Second, Version: newest})
 			return err
 		})
@@ -208,7 +208,7 @@
 }
 
 func (l *load) take(step string, newest cluster.Version, samples []machine.SampleView) {
-	l.w.ledger.Took(step, newest, samples)
+	l.w.ledger.RecordReceived(step, newest, samples)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, sample := range samples {
@@ -232,7 +232,7 @@
 			return err
 		}
 		*turn++
-		traffic.Pause(l.w.ctx, 100*time.Millisecond)
+		traffic.Sleep(l.w.ctx, 100*time.Millisecond)
 	}
 }
 
@@ -250,7 +250,7 @@
 			tries = 0
 		}
 		l.send(worker+number, call, tries)
-		traffic.Pause(l.w.ctx, 15*time.Millisecond)
+		traffic.Sleep(l.w.ctx, 15*time.Millisecond)
 	}
 }
 
@@ -292,7 +292,7 @@
 		if unknowns == maxUnknowns {
 			return
 		}
-		traffic.Pause(l.w.ctx, 100*time.Millisecond)
+		traffic.Sleep(l.w.ctx, 100*time.Millisecond)
 	}
 }
 
@@ -353,7 +353,7 @@
 func (l *load) checkSamples() {
 	l.w.t.Helper()
 	counts := l.w.ledger.Counts()
-	if counts.Steps == 0 || counts.Lost+counts.Duplicated+counts.Stale+len(counts.Faults) > 0 {
+	if counts.Steps == 0 || counts.Lost+counts.Duplicated+counts.Stale+len(counts.Errors) > 0 {
 		l.w.t.Errorf("samples: %+v", counts)
 	}
 	for _, d := range l.taken {
@@ -366,7 +366,7 @@
 			}
 		}
 	}
-	l.w.t.Logf("samples: %d steps, %d samples, %d delivered, newest version %d", counts.Steps, counts.Samples, counts.Delivered, l.w.ledger.Newest())
+	l.w.t.Logf("samples: %d steps, %d samples, %d delivered, newest version %d", counts.Steps, counts.Samples, counts.Delivered, l.w.ledger.NewestVersion())
 }
 
 // checkRequests holds what callers learned against the servers' own counts.
--- a/cmd/dalehook/failure_stop_test.go
+++ b/cmd/dalehook/failure_stop_test.go
@@ -117,9 +117,9 @@
 	api := o.at.apiWithin(openTimeout)
 	_, err := api.PostStep(w.ctx, step)
 	w.must(err)
-	w.ledger.Posted(step, stalenessBound)
+	w.ledger.RecordStep(step, stalenessBound)
 	o.open.Go(func() {
-		newest := w.ledger.Newest()
+		newest := w.ledger.NewestVersion()
 		page, err := api.ReadSamples(w.ctx, client.Read{Step: step.Step, Wait: openTimeout, Version: newest})
 		if err != nil {
 			w.fault("the long poll at %s was cut: %v", o.at.id, err)
--- a/cmd/dalehook/failure_world_test.go
+++ b/cmd/dalehook/failure_world_test.go
@@ -224,7 +224,7 @@
 				highest = max(highest, status.Revision)
 			}
 		}
-		traffic.Pause(w.ctx, 50*time.Millisecond)
+		traffic.Sleep(w.ctx, 50*time.Millisecond)
 	}
 	n.ready.Store(false)
 }
@@ -271,7 +271,7 @@
 		if took > patience {
 			w.t.Fatalf("wait for %s: %v", what, err)
 		}
-		traffic.Pause(w.ctx, 10*time.Millisecond)
+		traffic.Sleep(w.ctx, 10*time.Millisecond)
 	}
 }
 
@@ -376,7 +376,7 @@
 	if _, _, err = w.store.Append(ctx, record.ControlLog, payload); err != nil {
 		return err
 	}
-	w.ledger.Announced(version)
+	w.ledger.RecordAnnouncement(version)
 	return nil
 }
 
--- a/cmd/dalehook/fleet_test.go
+++ b/cmd/dalehook/fleet_test.go
@@ -145,7 +145,7 @@
 		if last = condition(); last == nil {
 			return
 		}
-		traffic.Pause(f.t.Context(), 20*time.Millisecond)
+		traffic.Sleep(f.t.Context(), 20*time.Millisecond)
 	}
 	f.t.Fatalf("wait for %s: %v", what, last)
 }
@@ -289,7 +289,7 @@
 	if _, _, err := store.Append(f.t.Context(), record.ControlLog, payload); err != nil {
 		f.t.Fatal(err)
 	}
-	ledger.Announced(version)
+	ledger.RecordAnnouncement(version)
 }
 
 // planAndConfirm plans through one node and confirms through another. It plans
--- a/cmd/dalehook/process_test.go
+++ b/cmd/dalehook/process_test.go
@@ -18,14 +18,14 @@
 )
 
 // runTrainer posts and reads steps until all are delivered.
-func runTrainer(ctx context.Context, nodes *traffic.Directory, ledger *traffic.Ledger, earlier, steps int) error {
+func runTrainer(ctx context.Context, nodes *traffic.NodeBalancer, ledger *traffic.Ledger, earlier, steps int) error {
 	return traffic.NewTrainer(traffic.TrainerOptions{
 		Event:  testEvent,
 		Nodes:  nodes,
 		Ledger: ledger,
-		Work: traffic.Workload{
-			Trainer: "captions", Earlier: earlier, Steps: steps,
-			Samples: 24, Tokens: 16, LongTokens: 400, MaxTokens: 600, LongEvery: 8, Bound: 2,
+		Workload: traffic.Workload{
+			Trainer: "captions", StepOffset: earlier, Steps: steps,
+			SamplesPerStep: 24, MinTokens: 16, MinLongTokens: 400, MaxTokens: 600, LongSampleInterval: 8, StalenessBound: 2,
 		},
 	}).Run(ctx)
 }
@@ -60,14 +60,14 @@
 		f.awaitRevision(n, revision)
 	}
 
-	directory := traffic.NewDirectory(addresses)
+	directory := traffic.NewNodeBalancer(addresses)
 	working, stop := context.WithCancel(t.Context())
 	var background, work conc.WaitGroup
 	defer background.Wait()
 	defer stop()
 	background.Go(func() { directory.Run(working) })
 	callers := traffic.NewCallers(traffic.CallersOptions{
-		Service: testService, Nodes: directory, Servers: servers, Workers: 6, Requests: 1200, Tries: 1,
+		Service: testService, Nodes: directory, Servers: servers, Workers: 6, Requests: 1200, MaxAttempts: 1,
 	})
 	work.Go(func() { callers.Run(t.Context()) })
 	work.Go(func() {
@@ -77,8 +77,8 @@
 	})
 
 	f.await("work under way", func() error {
-		if callers.Answered() < 100 || ledger.Counts().Delivered == 0 {
-			return fmt.Errorf("%d requests answered, samples: %+v", callers.Answered(), ledger.Counts())
+		if callers.SuccessCount() < 100 || ledger.Counts().Delivered == 0 {
+			return fmt.Errorf("%d requests answered, samples: %+v", callers.SuccessCount(), ledger.Counts())
 		}
 		return nil
 	})
@@ -99,7 +99,7 @@
 	killed.process = f.start(killed.id+" again", "node", "-settings", killed.settings)
 	f.awaitReady(killed)
 	f.awaitRevision(killed, revision)
-	if err := runTrainer(t.Context(), traffic.NewDirectory([]string{killed.client}), ledger, 3, 1); err != nil {
+	if err := runTrainer(t.Context(), traffic.NewNodeBalancer([]string{killed.client}), ledger, 3, 1); err != nil {
 		t.Error(err)
 	}
 	checkSamples(t, ledger, 4)
@@ -111,16 +111,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if counts.Sent != sent || counts.Answered != sent || counts.Duplicated != 0 || len(counts.Faults) > 0 {
+	if counts.Sent != sent || counts.Succeeded != sent || counts.Duplicated != 0 || len(counts.Errors) > 0 {
 		t.Errorf("%d requests sent, %d answered, %d doubled:\n%s",
-			counts.Sent, counts.Answered, counts.Duplicated, strings.Join(counts.Faults, "\n"))
+			counts.Sent, counts.Succeeded, counts.Duplicated, strings.Join(counts.Errors, "\n"))
 	}
 }
 
 func checkSamples(t *testing.T, ledger *traffic.Ledger, steps int) {
 	t.Helper()
 	counts := ledger.Counts()
-	if counts.Steps != steps || counts.Delivered != counts.Samples || counts.Duplicated != 0 || counts.Stale != 0 || len(counts.Faults) > 0 {
+	if counts.Steps != steps || counts.Delivered != counts.Samples || counts.Duplicated != 0 || counts.Stale != 0 || len(counts.Errors) > 0 {
 		t.Errorf("samples: %+v", counts)
 	}
 }
--- a/internal/demo/await.go
+++ b/internal/demo/await.go
@@ -33,7 +33,7 @@
 		if ctx.Err() != nil || client.IsFinal(err) {
 			return eris.Wrap(last, doing)
 		}
-		traffic.Pause(ctx, pollPause)
+		traffic.Sleep(ctx, pollPause)
 	}
 }
 
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -102,8 +102,8 @@
 			WeightLoads:  30,
 		},
 		Workloads: []traffic.Workload{
-			{Trainer: "captions", Steps: 3, Every: 3 * time.Second, Samples: 96, Tokens: 16, LongTokens: 260, MaxTokens: 300, LongEvery: 24, Bound: 1},
-			{Trainer: "summaries", Steps: 2, Every: 6 * time.Second, Samples: 48, Tokens: 120, LongTokens: 640, MaxTokens: 720, LongEvery: 12, Bound: 2},
+			{Trainer: "captions", Steps: 3, StepInterval: 3 * time.Second, SamplesPerStep: 96, MinTokens: 16, MinLongTokens: 260, MaxTokens: 300, LongSampleInterval: 24, StalenessBound: 1},
+			{Trainer: "summaries", Steps: 2, StepInterval: 6 * time.Second, SamplesPerStep: 48, MinTokens: 120, MinLongTokens: 640, MaxTokens: 720, LongSampleInterval: 12, StalenessBound: 2},
 		},
 		Versions:     4,
 		VersionEvery: 3 * time.Second,
@@ -130,25 +130,25 @@
 	options    Options
 	deployment *deployment
 	ledger     *traffic.Ledger
-	nodes      *traffic.Directory
+	nodes      *traffic.NodeBalancer
 	callers    *traffic.Callers
 }
 
 func newRun(options Options, started *deployment) *run {
-	nodes := traffic.NewDirectory(started.nodeAddresses())
+	nodes := traffic.NewNodeBalancer(started.nodeAddresses())
 	return &run{
 		options:    options,
 		deployment: started,
 		ledger:     traffic.NewLedger(),
 		nodes:      nodes,
 		callers: traffic.NewCallers(traffic.CallersOptions{
-			Service:  serviceName,
-			Nodes:    nodes,
-			Servers:  started.serverClients(),
-			Workers:  options.Callers,
-			Requests: options.Requests,
-			Direct:   true,
-			Tries:    callTries,
+			Service:     serviceName,
+			Nodes:       nodes,
+			Servers:     started.serverClients(),
+			Workers:     options.Callers,
+			Requests:    options.Requests,
+			SendDirect:  true,
+			MaxAttempts: callTries,
 		}),
 	}
 }
@@ -204,7 +204,7 @@
 func (r *run) work(ctx context.Context) error {
 	tasks := pool.New().WithErrors().WithContext(ctx)
 	for _, work := range r.options.Workloads {
-		trainer := traffic.NewTrainer(traffic.TrainerOptions{Work: work, Event: eventName, Nodes: r.nodes, Ledger: r.ledger})
+		trainer := traffic.NewTrainer(traffic.TrainerOptions{Workload: work, Event: eventName, Nodes: r.nodes, Ledger: r.ledger})
 		tasks.Go(trainer.Run)
 	}
 	tasks.Go(r.announce)
@@ -218,7 +218,7 @@
 // announce publishes the further versions while the trainers work.
 func (r *run) announce(ctx context.Context) error {
 	for version := 2; version <= r.options.Versions; version++ {
-		traffic.Pause(ctx, r.options.VersionEvery)
+		traffic.Sleep(ctx, r.options.VersionEvery)
 		if err := r.publish(ctx, cluster.Version(version)); err != nil {
 			return err
 		}
@@ -243,7 +243,7 @@
 	if _, _, err := r.deployment.platform.Append(ctx, record.ControlLog, payload); err != nil {
 		return eris.Wrapf(err, "announce version %d", version)
 	}
-	r.ledger.Announced(version)
+	r.ledger.RecordAnnouncement(version)
 	return nil
 }
 
@@ -267,11 +267,11 @@
 			Trainer:        work.Trainer,
 			Pool:           enginePool,
 			Model:          modelName,
-			SamplesPerStep: work.Samples,
-			MeanTokens:     2 * work.Tokens,
+			SamplesPerStep: work.SamplesPerStep,
+			MeanTokens:     2 * work.MinTokens,
 			MaxTokens:      work.MaxTokens,
-			StepEvery:      record.Duration(work.Every),
-			StalenessBound: work.Bound,
+			StepEvery:      record.Duration(work.StepInterval),
+			StalenessBound: work.StalenessBound,
 			Importance:     5,
 		})
 	}
@@ -305,10 +305,10 @@
 func (r *run) report(ctx context.Context) {
 	const every = 250 * time.Millisecond
 	for ctx.Err() == nil {
-		samples, requests := r.ledger.Counts(), r.callers.Answered()
+		samples, requests := r.ledger.Counts(), r.callers.SuccessCount()
 		r.say("\r%4d of %d samples delivered, version %d, %5d of %d requests answered", samples.Delivered, samples.Samples,
-			r.ledger.Newest(), requests, r.options.Requests)
-		traffic.Pause(ctx, every)
+			r.ledger.NewestVersion(), requests, r.options.Requests)
+		traffic.Sleep(ctx, every)
 	}
 	r.say("\n")
 }
--- a/internal/demo/demo_test.go
+++ b/internal/demo/demo_test.go
@@ -24,7 +24,7 @@
 	}
 	return newResult(
 		traffic.SampleCounts{Steps: 2, Samples: 8, Delivered: 8},
-		traffic.RequestCounts{Sent: 4, Saves: 1, Answered: 4, DirectSent: 4, DirectAnswered: 4, Routed: histogram(16), Direct: histogram(15)},
+		traffic.RequestCounts{Sent: 4, Saves: 1, Succeeded: 4, DirectSent: 4, DirectSucceeded: 4, Routed: histogram(16), Direct: histogram(15)},
 		12*time.Second,
 	)
 }
@@ -57,7 +57,7 @@
 		{"lost", func(r *Result) { r.Lost = 1 }, false},
 		{"doubled", func(r *Result) { r.Duplicated = 1 }, false},
 		{"stale", func(r *Result) { r.Stale = 1 }, false},
-		{"garbled", func(r *Result) { r.bySample.Faults = []string{"text"} }, false},
+		{"garbled", func(r *Result) { r.bySample.Errors = []string{"text"} }, false},
 		{"cut short", func(r *Result) { r.errors = []string{"time"} }, false},
 	}
 	for _, test := range tests {
@@ -82,7 +82,7 @@
 	options.VersionEvery = 500 * time.Millisecond
 	options.Timeout = 10 * time.Minute
 	options.Workloads = []traffic.Workload{
-		{Trainer: "captions", Steps: 2, Every: time.Minute, Samples: 16, Tokens: 16, LongTokens: 60, MaxTokens: 80, LongEvery: 8, Bound: 1},
+		{Trainer: "captions", Steps: 2, StepInterval: time.Minute, SamplesPerStep: 16, MinTokens: 16, MinLongTokens: 60, MaxTokens: 80, LongSampleInterval: 8, StalenessBound: 1},
 	}
 	result, err := Run(t.Context(), options)
 	if err != nil {
--- a/internal/demo/result.go
+++ b/internal/demo/result.go
@@ -52,7 +52,7 @@
 
 // Faults says what else was wrong, a line each.
 func (r Result) Faults() []string {
-	return slices.Concat(r.errors, r.bySample.Faults, r.byRequest.Faults)
+	return slices.Concat(r.errors, r.bySample.Errors, r.byRequest.Errors)
 }
 
 // newResult sums up the counts of trainers and callers.
@@ -94,8 +94,8 @@
 	writer.SetTitle("Counted by trainers, callers and servers")
 	writer.AppendHeader(table.Row{"", "sent", "received", "lost", "doubled", "stale", "p50 ms", "p99 ms"})
 	writer.AppendRow(table.Row{"samples", r.bySample.Samples, r.bySample.Delivered, r.bySample.Lost, r.bySample.Duplicated, r.bySample.Stale, "", ""})
-	writer.AppendRow(table.Row{"requests through nodes", r.byRequest.Sent, r.byRequest.Answered, r.byRequest.Lost, r.byRequest.Duplicated, "", r.P50, r.P99})
-	writer.AppendRow(table.Row{"the same sent direct", r.byRequest.DirectSent, r.byRequest.DirectAnswered, r.byRequest.DirectSent - r.byRequest.DirectAnswered, "", "", r.DirectP50, r.DirectP99})
+	writer.AppendRow(table.Row{"requests through nodes", r.byRequest.Sent, r.byRequest.Succeeded, r.byRequest.Lost, r.byRequest.Duplicated, "", r.P50, r.P99})
+	writer.AppendRow(table.Row{"the same sent direct", r.byRequest.DirectSent, r.byRequest.DirectSucceeded, r.byRequest.DirectSent - r.byRequest.DirectSucceeded, "", "", r.DirectP50, r.DirectP99})
 	writer.SetCaption("%d steps in %s; %d of the requests were saves.", r.Steps, r.took.Round(time.Millisecond), r.byRequest.Saves)
 	fmt.Fprintln(out, writer.Render())
 	if err := json.NewEncoder(out).Encode(r); err != nil {
--- a/internal/traffic/callers.go
+++ b/internal/traffic/callers.go
@@ -20,59 +20,62 @@
 )
 
 const (
-	// saveEvery says which requests are saves; the others are lookups.
-	saveEvery = 4
-	// callDeadline bounds one sending.
+	// saveInterval makes every saveInterval-th request a save; the others are
+	// lookups.
+	saveInterval = 4
+	// callDeadline bounds one attempt.
 	callDeadline = 10 * time.Second
-	// thinkTime is a caller's pause between two requests.
+	// thinkTime is a worker's pause between two requests.
 	thinkTime = 20 * time.Millisecond
 )
 
-// RequestCounts are what callers counted.
+// RequestCounts are the counts of Callers.
 type RequestCounts struct {
-	// Sent requests went through nodes; Saves of them were unrepeatable.
+	// Sent counts requests through nodes, Saves the unrepeatable ones among them.
 	Sent, Saves int
-	// Answered requests got their whole answer, Lost ones did not.
-	Answered, Lost int
-	// Duplicated counts runs of a save beyond its first, by the servers' counts.
+	// Succeeded counts requests with a complete and correct response, Lost those
+	// without.
+	Succeeded, Lost int
+	// Duplicated counts executions of a save after its first, according to the
+	// servers.
 	Duplicated int
-	// DirectSent and DirectAnswered count the requests straight to servers.
-	DirectSent, DirectAnswered int
-	// Routed and Direct hold the times of answered requests in microseconds.
+	// DirectSent and DirectSucceeded count the requests sent directly to servers.
+	DirectSent, DirectSucceeded int
+	// Routed and Direct hold the latencies of successful requests in microseconds.
 	Routed, Direct *hdrhistogram.Histogram
-	// Faults says what went wrong, a line each.
-	Faults []string
+	// Errors holds one line for each error.
+	Errors []string
 }
 
 // CallersOptions configure Callers.
 type CallersOptions struct {
 	Service string
-	// Nodes lists the nodes to ask, Servers the service's servers.
-	Nodes   *Directory
+	// Nodes selects the nodes for requests. Servers are the service's servers.
+	Nodes   *NodeBalancer
 	Servers []*client.Client
-	// Workers is the number of requests at the same time.
+	// Workers is the number of concurrent requests.
 	Workers int
-	// Requests is the number sent through the nodes; with Direct set as many go
-	// straight to the servers.
-	Requests int
-	Direct   bool
-	// Tries is how often a request is sent, with the same key, until it counts
-	// as lost.
-	Tries int
+	// Requests is the number of requests through the nodes. With SendDirect, as
+	// many are sent directly to the servers.
+	Requests   int
+	SendDirect bool
+	// MaxAttempts is the number of times that a request is sent, with the same
+	// key, before it counts as lost.
+	MaxAttempts int
 }
 
-// Callers send lookups and saves through the nodes, and each request a second
-// time, under a key of its own, straight to a server.
+// Callers send lookups and saves through the nodes and, with SendDirect, a second
+// copy of each request directly to a server under a key of its own.
 type Callers struct {
 	options CallersOptions
 
 	mu     sync.Mutex
 	counts RequestCounts
-	// saved holds the keys of saves that were answered.
-	saved []string
+	// savedKeys holds the keys of successful saves.
+	savedKeys []string
 }
 
-// NewCallers returns callers that have sent nothing.
+// NewCallers returns callers; Run starts sending.
 func NewCallers(options CallersOptions) *Callers {
 	return &Callers{
 		options: options,
@@ -80,14 +83,14 @@
 	}
 }
 
-// newHistogram counts microseconds up to a minute.
+// newHistogram returns a histogram of microseconds up to one minute.
 func newHistogram() *hdrhistogram.Histogram {
 	const significantFigures = 3
 	return hdrhistogram.New(1, time.Minute.Microseconds(), significantFigures)
 }
 
-// Run sends all requests. The order of the two ways alternates, so that neither
-// has the warmer server.
+// Run sends all requests. The order of routed and direct requests alternates, so
+// that neither benefits from a warmer server.
 func (c *Callers) Run(ctx context.Context) {
 	workers := pool.New().WithMaxGoroutines(c.options.Workers)
 	for number := range c.options.Requests {
@@ -98,58 +101,59 @@
 			if number%2 == 0 {
 				c.sendRouted(ctx, number)
 			}
-			if c.options.Direct {
+			if c.options.SendDirect {
 				c.sendDirect(ctx, number)
 			}
 			if number%2 != 0 {
 				c.sendRouted(ctx, number)
 			}
-			Pause(ctx, thinkTime)
+			Sleep(ctx, thinkTime)
 		})
 	}
 	workers.Wait()
 }
 
-// request makes a lookup or a save; way keeps the keys of both ways apart.
-func (c *Callers) request(way string, number int) client.Call {
+// newCall returns a lookup or a save. The mode is part of the path and the key, so
+// that routed and direct requests have different keys.
+func (c *Callers) newCall(mode string, number int) client.Call {
 	call := client.Call{
 		Method:   http.MethodGet,
 		Service:  c.options.Service,
-		Path:     fmt.Sprintf("/lookups/%s-%d", way, number),
+		Path:     fmt.Sprintf("/lookups/%s-%d", mode, number),
 		Deadline: callDeadline,
 	}
-	if number%saveEvery == saveEvery-1 {
+	if number%saveInterval == saveInterval-1 {
 		call.Method = http.MethodPost
-		call.Path = fmt.Sprintf("/saves/%s-%d", way, number)
+		call.Path = fmt.Sprintf("/saves/%s-%d", mode, number)
 		call.Body = fmt.Sprintf(`{"line":%d,"hearing":"water board"}`, number)
-		call.Key = saveKey(way, number)
+		call.Key = saveKey(mode, number)
 		call.Unrepeatable = true
 	}
 	return call
 }
 
-func saveKey(way string, number int) string { return fmt.Sprintf("%s-save-%d", way, number) }
+func saveKey(mode string, number int) string { return fmt.Sprintf("%s-save-%d", mode, number) }
 
-// The ways of a request.
+// The modes in which a request is sent: through a node or directly to a server.
 const (
-	wayRouted = "routed"
-	wayDirect = "direct"
+	modeRouted = "routed"
+	modeDirect = "direct"
 )
 
-// sendRouted sends a request through one node after another until it is
-// answered. A save keeps its key, so that it runs at most once.
+// sendRouted sends a request through one node after another until it succeeds. A
+// save keeps its key across attempts, so that it is executed at most once.
 func (c *Callers) sendRouted(ctx context.Context, number int) {
-	call := c.request(wayRouted, number)
+	call := c.newCall(modeRouted, number)
 	start := time.Now()
-	reason := ""
-	for try := range c.options.Tries {
-		reason = outcomeOf(c.options.Nodes.Pick(number+try).Call(ctx, call))(call)
-		if reason == "" {
+	failure := ""
+	for attempt := range c.options.MaxAttempts {
+		failure = verifyResponse(c.options.Nodes.Pick(number+attempt).Call(ctx, call))(call)
+		if failure == "" {
 			break
 		}
-		Pause(ctx, retryPause)
+		Sleep(ctx, retryDelay)
 	}
-	took := time.Since(start)
+	duration := time.Since(start)
 
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -157,94 +161,95 @@
 	if call.Unrepeatable {
 		c.counts.Saves++
 	}
-	if reason != "" {
+	if failure != "" {
 		c.counts.Lost++
-		c.counts.Faults = append(c.counts.Faults, fmt.Sprintf("request %s: %s", call.Path, reason))
+		c.counts.Errors = append(c.counts.Errors, fmt.Sprintf("request %s: %s", call.Path, failure))
 		return
 	}
-	c.counts.Answered++
+	c.counts.Succeeded++
 	if call.Unrepeatable {
-		c.saved = append(c.saved, call.Key)
+		c.savedKeys = append(c.savedKeys, call.Key)
 	}
-	_ = c.counts.Routed.RecordValue(took.Microseconds())
+	_ = c.counts.Routed.RecordValue(duration.Microseconds())
 }
 
-// sendDirect sends a request straight to a server, the servers taking turns.
+// sendDirect sends a request directly to a server, chosen round-robin.
 func (c *Callers) sendDirect(ctx context.Context, number int) {
-	call := c.request(wayDirect, number)
+	call := c.newCall(modeDirect, number)
 	start := time.Now()
-	reason := outcomeOf(c.options.Servers[number%len(c.options.Servers)].CallDirect(ctx, call))(call)
-	took := time.Since(start)
+	failure := verifyResponse(c.options.Servers[number%len(c.options.Servers)].CallDirect(ctx, call))(call)
+	duration := time.Since(start)
 
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.counts.DirectSent++
-	if reason != "" {
-		c.counts.Faults = append(c.counts.Faults, fmt.Sprintf("direct request %s: %s", call.Path, reason))
+	if failure != "" {
+		c.counts.Errors = append(c.counts.Errors, fmt.Sprintf("direct request %s: %s", call.Path, failure))
 		return
 	}
-	c.counts.DirectAnswered++
-	_ = c.counts.Direct.RecordValue(took.Microseconds())
+	c.counts.DirectSucceeded++
+	_ = c.counts.Direct.RecordValue(duration.Microseconds())
 }
 
-// outcomeOf returns a check that says why an answer is not the whole answer to
-// the call, empty when it is.
-func outcomeOf(answer client.CallAnswer, err error) func(client.Call) string {
+// verifyResponse returns a function that describes why the response is not the
+// complete response to a call, or returns "" if it is.
+func verifyResponse(response client.CallAnswer, err error) func(client.Call) string {
 	return func(call client.Call) string {
 		if err != nil {
 			return err.Error()
 		}
-		if answer.Status != http.StatusOK {
-			return fmt.Sprintf("status %d: %s", answer.Status, answer.Body)
+		if response.Status != http.StatusOK {
+			return fmt.Sprintf("status %d: %s", response.Status, response.Body)
 		}
-		var echo standin.ServiceResponse
-		if err := json.Unmarshal(answer.Body, &echo); err != nil {
+		var body standin.ServiceResponse
+		if err := json.Unmarshal(response.Body, &body); err != nil {
 			return "answer is no JSON: " + err.Error()
 		}
 		digest := sha256.Sum256([]byte(call.Body))
-		if echo.Path != call.Path || echo.Key != call.Key || echo.BodyDigest != hex.EncodeToString(digest[:]) {
-			return fmt.Sprintf("answer belongs to %s with key %q", echo.Path, echo.Key)
+		if body.Path != call.Path || body.Key != call.Key || body.BodyDigest != hex.EncodeToString(digest[:]) {
+			return fmt.Sprintf("answer belongs to %s with key %q", body.Path, body.Key)
 		}
 		return ""
 	}
 }
 
-// Answered returns the number of requests answered through nodes so far.
-func (c *Callers) Answered() int {
+// SuccessCount returns the number of successful requests through nodes so far.
+func (c *Callers) SuccessCount() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.counts.Answered
+	return c.counts.Succeeded
 }
 
-// Audit compares the answered saves with the servers' own counts.
+// Audit compares the successful saves with the servers' own counts and returns
+// the final counts.
 func (c *Callers) Audit(ctx context.Context) (RequestCounts, error) {
-	runs := map[string]int{}
+	executions := map[string]int{}
 	for _, server := range c.options.Servers {
-		answer, err := server.CallDirect(ctx, client.Call{Method: http.MethodGet, Path: "/counts"})
+		response, err := server.CallDirect(ctx, client.Call{Method: http.MethodGet, Path: "/counts"})
 		if err != nil {
 			return RequestCounts{}, eris.Wrap(err, "read the counts of a server")
 		}
 		var counts map[string]int
-		if err := json.Unmarshal(answer.Body, &counts); err != nil {
+		if err := json.Unmarshal(response.Body, &counts); err != nil {
 			return RequestCounts{}, eris.Wrap(err, "decode the counts of a server")
 		}
-		for key, times := range counts {
-			runs[key] += times
+		for key, count := range counts {
+			executions[key] += count
 		}
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if unsent := c.options.Requests - c.counts.Sent; unsent > 0 {
-		c.counts.Faults = append(c.counts.Faults, fmt.Sprintf("%d requests were not sent before the time was up", unsent))
+		c.counts.Errors = append(c.counts.Errors, fmt.Sprintf("%d requests were not sent before the time was up", unsent))
 	}
-	for number := saveEvery - 1; number < c.options.Requests; number += saveEvery {
-		c.counts.Duplicated += max(0, runs[saveKey(wayRouted, number)]-1)
+	for number := saveInterval - 1; number < c.options.Requests; number += saveInterval {
+		c.counts.Duplicated += max(0, executions[saveKey(modeRouted, number)]-1)
 	}
-	for _, key := range c.saved {
-		if runs[key] == 0 {
-			c.counts.Faults = append(c.counts.Faults, fmt.Sprintf("save %s was answered and never ran", key))
+	for _, key := range c.savedKeys {
+		if executions[key] == 0 {
+			c.counts.Errors = append(c.counts.Errors, fmt.Sprintf("save %s was answered and never ran", key))
 		}
 	}
-	slices.Sort(c.counts.Faults)
+	slices.Sort(c.counts.Errors)
 	return c.counts, nil
 }
--- a/internal/traffic/callers_test.go
+++ b/internal/traffic/callers_test.go
@@ -11,36 +11,36 @@
 	"dalehook/internal/standin"
 )
 
-// newForwarder returns a node that passes each request on to a server as often
-// as it is told, and answers with the last answer.
-func newForwarder(t *testing.T, server string, times func(*http.Request) int) *httptest.Server {
+// newForwarder returns a node that forwards each request to a server as many times
+// as copies returns, and responds with the last response.
+func newForwarder(t *testing.T, server string, copies func(*http.Request) int) *httptest.Server {
 	t.Helper()
 	node := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
 		path := strings.TrimPrefix(r.URL.Path, "/v1/services/bridge")
-		var answer client.CallAnswer
-		for range times(r) {
+		var response client.CallAnswer
+		for range copies(r) {
 			var err error
-			answer, err = client.New(client.Options{Node: server}).CallDirect(r.Context(), client.Call{
+			response, err = client.New(client.Options{Node: server}).CallDirect(r.Context(), client.Call{
 				Method: r.Method, Path: path, Body: string(body), Key: r.Header.Get("Idempotency-Key"),
 			})
 			if err != nil {
 				t.Errorf("forward: %v", err)
 			}
 		}
-		_, _ = w.Write(answer.Body)
+		_, _ = w.Write(response.Body)
 	}))
 	t.Cleanup(node.Close)
 	return node
 }
 
-func TestCallersCountLostAndDoubledRequests(t *testing.T) {
+func TestCallersCountLostAndDuplicatedRequests(t *testing.T) {
 	tests := []struct {
 		name             string
 		times            func(*http.Request) int
 		lost, duplicated int
 	}{
-		{"each once", func(*http.Request) int { return 1 }, 0, 0},
+		{"every request once", func(*http.Request) int { return 1 }, 0, 0},
 		{"saves twice", func(r *http.Request) int {
 			if r.Method == http.MethodPost {
 				return 2
@@ -56,30 +56,30 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			stand := standin.NewService(standin.ServiceOptions{})
-			defer stand.Close()
-			server := httptest.NewServer(stand.Handler())
+			service := standin.NewService(standin.ServiceOptions{})
+			defer service.Close()
+			server := httptest.NewServer(service.Handler())
 			defer server.Close()
 			node := newForwarder(t, server.URL, test.times)
 			callers := NewCallers(CallersOptions{
-				Service:  "bridge",
-				Nodes:    NewDirectory([]string{node.URL}),
-				Servers:  []*client.Client{client.New(client.Options{Node: server.URL})},
-				Workers:  4,
-				Requests: 8,
-				Direct:   true,
-				Tries:    1,
+				Service:     "bridge",
+				Nodes:       NewNodeBalancer([]string{node.URL}),
+				Servers:     []*client.Client{client.New(client.Options{Node: server.URL})},
+				Workers:     4,
+				Requests:    8,
+				SendDirect:  true,
+				MaxAttempts: 1,
 			})
 			callers.Run(t.Context())
 			got, err := callers.Audit(t.Context())
 			if err != nil {
 				t.Fatal(err)
 			}
-			if got.Sent != 8 || got.Saves != 2 || got.DirectAnswered != 8 {
-				t.Errorf("sent %d, %d of them saves, %d direct answered; want 8, 2, 8", got.Sent, got.Saves, got.DirectAnswered)
+			if got.Sent != 8 || got.Saves != 2 || got.DirectSucceeded != 8 {
+				t.Errorf("sent %d, saves %d, direct succeeded %d; want 8, 2, 8", got.Sent, got.Saves, got.DirectSucceeded)
 			}
 			if got.Lost != test.lost || got.Duplicated != test.duplicated {
-				t.Errorf("lost %d, doubled %d; want %d, %d: %v", got.Lost, got.Duplicated, test.lost, test.duplicated, got.Faults)
+				t.Errorf("lost %d, duplicated %d; want %d, %d: %v", got.Lost, got.Duplicated, test.lost, test.duplicated, got.Errors)
 			}
 		})
 	}
--- a/internal/traffic/ledger.go
+++ b/internal/traffic/ledger.go
@@ -12,97 +12,100 @@
 	"dalehook/internal/standin"
 )
 
-// Ledger counts what trainers truly received against what they posted and what
-// was announced. It asks no node. It is safe for concurrent use.
+// Ledger compares the samples that trainers received with those they posted and
+// with the announced versions. It uses no data reported by nodes about
+// themselves. It is safe for concurrent use.
 type Ledger struct {
 	mu sync.Mutex
 	// newest is the newest version whose announcement the log has acknowledged.
 	newest cluster.Version
-	steps  map[string]*stepLedger
-	// order holds the names of steps as they were posted.
-	order []string
+	steps  map[string]*stepCounts
+	// stepNames holds the names of steps in the order in which they were posted.
+	stepNames []string
 }
 
-// stepLedger counts the samples of one step.
-type stepLedger struct {
-	bound   int64
-	samples map[string]record.Sample
-	// received counts, by sample id, how often the trainer took the sample.
+// stepCounts holds the counts of one step.
+type stepCounts struct {
+	stalenessBound int64
+	samples        map[string]record.Sample
+	// received counts, by sample id, how often the trainer received the sample.
 	received map[string]int
 	stale    int
-	// faults says what was wrong with received samples, a line each.
-	faults []string
+	// errors holds one line for each invalid sample received.
+	errors []string
 }
 
 // SampleCounts are sums over all steps.
 type SampleCounts struct {
 	Steps int
-	// Samples were posted, Delivered of them were taken at least once, and Lost
-	// never.
+	// Samples counts posted samples, Delivered those received at least once, and
+	// Lost those never received.
 	Samples, Delivered, Lost int
-	// Duplicated counts what was taken again, Stale what was over its bound.
+	// Duplicated counts repeated deliveries, Stale deliveries that exceeded the
+	// staleness bound.
 	Duplicated, Stale int
-	// Faults says what was wrong with received samples, a line each.
-	Faults []string
+	// Errors holds one line for each invalid sample received.
+	Errors []string
 }
 
-// NewLedger returns a ledger without steps.
-func NewLedger() *Ledger { return &Ledger{steps: map[string]*stepLedger{}} }
+// NewLedger returns an empty ledger.
+func NewLedger() *Ledger { return &Ledger{steps: map[string]*stepCounts{}} }
 
-// Announced notes a version after the log has acknowledged its announcement.
-func (l *Ledger) Announced(version cluster.Version) {
+// RecordAnnouncement records a version after the log has acknowledged its
+// announcement.
+func (l *Ledger) RecordAnnouncement(version cluster.Version) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.newest = max(l.newest, version)
 }
 
-// Newest returns the newest version that was announced so far.
-func (l *Ledger) Newest() cluster.Version {
+// NewestVersion returns the newest version announced so far.
+func (l *Ledger) NewestVersion() cluster.Version {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.newest
 }
 
-// Posted notes a step that a node has accepted, with its staleness bound.
-func (l *Ledger) Posted(step client.Step, bound int64) {
+// RecordStep records a step that a node has accepted, with its staleness bound.
+func (l *Ledger) RecordStep(step client.Step, bound int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	count := &stepLedger{bound: bound, samples: map[string]record.Sample{}, received: map[string]int{}}
+	counts := &stepCounts{stalenessBound: bound, samples: map[string]record.Sample{}, received: map[string]int{}}
 	for _, sample := range step.Samples {
-		count.samples[sample.ID] = sample
-		count.received[sample.ID] = 0
+		counts.samples[sample.ID] = sample
+		counts.received[sample.ID] = 0
 	}
-	l.steps[step.Step] = count
-	l.order = append(l.order, step.Step)
+	l.steps[step.Step] = counts
+	l.stepNames = append(l.stepNames, step.Step)
 }
 
-// Took notes samples that the trainer has taken. Newest is the newest version
-// that was announced before the trainer began to read.
-func (l *Ledger) Took(step string, newest cluster.Version, samples []machine.SampleView) {
+// RecordReceived records samples that the trainer received. newest is the newest
+// version that was announced before the trainer started the read.
+func (l *Ledger) RecordReceived(step string, newest cluster.Version, samples []machine.SampleView) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	count := l.steps[step]
+	counts := l.steps[step]
 	for _, sample := range samples {
-		posted, known := count.samples[sample.ID]
+		posted, known := counts.samples[sample.ID]
 		if !known {
-			count.faults = append(count.faults, fmt.Sprintf("step %s: sample %s was never posted", step, sample.ID))
+			counts.errors = append(counts.errors, fmt.Sprintf("step %s: sample %s was never posted", step, sample.ID))
 			continue
 		}
-		if fault := checkSample(posted, sample); fault != "" {
-			count.faults = append(count.faults, fmt.Sprintf("step %s: sample %s: %s", step, sample.ID, fault))
+		if problem := checkSample(posted, sample); problem != "" {
+			counts.errors = append(counts.errors, fmt.Sprintf("step %s: sample %s: %s", step, sample.ID, problem))
 			continue
 		}
-		count.received[sample.ID]++
+		counts.received[sample.ID]++
 		oldest := record.Result{Segments: sample.Versions}.Oldest()
-		if int64(newest-oldest) > count.bound {
-			count.stale++
+		if int64(newest-oldest) > counts.stalenessBound {
+			counts.stale++
 		}
 	}
 }
 
-// checkSample returns what is wrong with a received sample: its text must be the
-// whole answer to the prompt, and its version segments must cover the answer's
-// tokens without gap or overlap.
+// checkSample returns a description of an invalid sample, or "" if it is valid:
+// its text must be the whole completion of the prompt, and its version segments
+// must cover the completion's tokens without gap or overlap.
 func checkSample(posted record.Sample, sample machine.SampleView) string {
 	if sample.Error != nil {
 		return "ended with " + sample.Error.Code + ": " + sample.Error.Message
@@ -124,28 +127,28 @@
 	return ""
 }
 
-// Counts sums up all steps.
+// Counts returns the totals over all steps.
 func (l *Ledger) Counts() SampleCounts {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	sum := SampleCounts{Steps: len(l.steps)}
-	for _, name := range l.order {
+	total := SampleCounts{Steps: len(l.steps)}
+	for _, name := range l.stepNames {
 		step := l.steps[name]
-		sum.Stale += step.stale
-		sum.Faults = append(sum.Faults, step.faults...)
-		for _, times := range step.received {
-			sum.Samples++
+		total.Stale += step.stale
+		total.Errors = append(total.Errors, step.errors...)
+		for _, count := range step.received {
+			total.Samples++
 			switch {
-			case times == 0:
-				sum.Lost++
-			case times > 1:
-				sum.Duplicated += times - 1
+			case count == 0:
+				total.Lost++
+			case count > 1:
+				total.Duplicated += count - 1
 			}
-			if times > 0 {
-				sum.Delivered++
+			if count > 0 {
+				total.Delivered++
 			}
 		}
 	}
-	slices.Sort(sum.Faults)
-	return sum
+	slices.Sort(total.Errors)
+	return total
 }
--- a/internal/traffic/ledger_test.go
+++ b/internal/traffic/ledger_test.go
@@ -13,9 +13,9 @@
 	"dalehook/internal/standin"
 )
 
-// answerTo returns what a node should hand over for a sample, all of it made by
-// one version.
-func answerTo(sample record.Sample, version cluster.Version) machine.SampleView {
+// newSampleView returns the valid view of a sample, produced entirely by one
+// version.
+func newSampleView(sample record.Sample, version cluster.Version) machine.SampleView {
 	tokens := standin.CompletionLength(sample.Prompt, sample.MaxTokens)
 	return machine.SampleView{
 		ID:       sample.ID,
@@ -24,13 +24,13 @@
 	}
 }
 
-func TestLedgerFindsWhatIsWrong(t *testing.T) {
+func TestLedgerDetectsInvalidSamples(t *testing.T) {
 	samples := []record.Sample{
 		{ID: "a", Prompt: "first", MaxTokens: 100},
 		{ID: "b", Prompt: "second", MaxTokens: 100},
 	}
-	good := func() []machine.SampleView {
-		return []machine.SampleView{answerTo(samples[0], 3), answerTo(samples[1], 2)}
+	valid := func() []machine.SampleView {
+		return []machine.SampleView{newSampleView(samples[0], 3), newSampleView(samples[1], 2)}
 	}
 	tests := []struct {
 		name   string
@@ -38,7 +38,7 @@
 		want   SampleCounts
 	}{
 		{
-			name:   "all as it should be",
+			name:   "valid",
 			change: func(views []machine.SampleView) []machine.SampleView { return views },
 			want:   SampleCounts{Steps: 1, Samples: 2, Delivered: 2},
 		},
@@ -48,12 +48,12 @@
 			want:   SampleCounts{Steps: 1, Samples: 2, Delivered: 1, Lost: 1},
 		},
 		{
-			name:   "doubled",
+			name:   "duplicated",
 			change: func(views []machine.SampleView) []machine.SampleView { return append(views, views[0]) },
 			want:   SampleCounts{Steps: 1, Samples: 2, Delivered: 2, Duplicated: 1},
 		},
 		{
-			name: "stale by its oldest segment",
+			name: "oldest segment is stale",
 			change: func(views []machine.SampleView) []machine.SampleView {
 				whole := views[0].Versions[0]
 				views[0].Versions = []record.Segment{
@@ -71,7 +71,7 @@
 				return views
 			},
 			want: SampleCounts{Steps: 1, Samples: 2, Delivered: 1, Lost: 1,
-				Faults: []string{"step s: sample a: its text is not the whole answer to its prompt"}},
+				Errors: []string{"step s: sample a: its text is not the whole answer to its prompt"}},
 		},
 		{
 			name: "gap between segments",
@@ -80,22 +80,22 @@
 				return views
 			},
 			want: SampleCounts{Steps: 1, Samples: 2, Delivered: 1, Lost: 1,
-				Faults: []string{fmt.Sprintf("step s: sample a: broken version segments [{3 1 %d}]", standin.CompletionLength("first", 100))}},
+				Errors: []string{fmt.Sprintf("step s: sample a: broken version segments [{3 1 %d}]", standin.CompletionLength("first", 100))}},
 		},
 		{
 			name: "never posted",
 			change: func(views []machine.SampleView) []machine.SampleView {
 				return append(views, machine.SampleView{ID: "z"})
 			},
-			want: SampleCounts{Steps: 1, Samples: 2, Delivered: 2, Faults: []string{"step s: sample z was never posted"}},
+			want: SampleCounts{Steps: 1, Samples: 2, Delivered: 2, Errors: []string{"step s: sample z was never posted"}},
 		},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			ledger := NewLedger()
-			ledger.Posted(client.Step{Step: "s", Samples: samples}, 1)
-			ledger.Announced(3)
-			ledger.Took("s", ledger.Newest(), test.change(good()))
+			ledger.RecordStep(client.Step{Step: "s", Samples: samples}, 1)
+			ledger.RecordAnnouncement(3)
+			ledger.RecordReceived("s", ledger.NewestVersion(), test.change(valid()))
 			if diff := cmp.Diff(test.want, ledger.Counts()); diff != "" {
 				t.Errorf("counts differ (-want +got):\n%s", diff)
 			}
--- a/internal/traffic/trainer.go
+++ b/internal/traffic/trainer.go
@@ -13,65 +13,67 @@
 )
 
 const (
-	// readWait is how long a node may hold back the answer to a read.
+	// readWait is the long-poll timeout of a read.
 	readWait = time.Second
-	// retryPause is the time before a call is tried again on another node.
-	retryPause = 100 * time.Millisecond
-	// lostAnswerEvery says which answers of a node the trainer drops as if they
-	// were lost on their way; it then reads again from the same cursor.
-	lostAnswerEvery = 6
+	// retryDelay is the pause before a call is retried on another node.
+	retryDelay = 100 * time.Millisecond
+	// droppedReadInterval makes the trainer discard every droppedReadInterval-th
+	// response as if it was lost in transit, and read again from the same cursor.
+	droppedReadInterval = 6
 )
 
-// Workload says what a trainer posts.
+// Workload describes the steps that a trainer posts.
 type Workload struct {
 	Trainer string
 	Steps   int
-	// Earlier is the number of steps that the trainer has posted before.
-	Earlier int
-	// Every is the time that the trainer expects from one step to the next.
-	Every time.Duration
-	// Samples is the number of samples in a step.
-	Samples int
-	// Tokens is the least length of an ordinary sample, LongTokens that of each
-	// LongEvery-th, MaxTokens the length at which an engine ends a sample.
-	Tokens     int
-	LongTokens int
-	MaxTokens  int
-	LongEvery  int
-	// Bound is the staleness bound in versions.
-	Bound int64
+	// StepOffset is the number of steps that the trainer posted in earlier runs;
+	// step numbers continue from it.
+	StepOffset int
+	// StepInterval is the expected time between steps.
+	StepInterval time.Duration
+	// SamplesPerStep is the number of samples in a step.
+	SamplesPerStep int
+	// MinTokens is the minimum length of a sample. Every LongSampleInterval-th
+	// sample has at least MinLongTokens instead. Engines end a sample at
+	// MaxTokens.
+	MinTokens          int
+	MinLongTokens      int
+	MaxTokens          int
+	LongSampleInterval int
+	// StalenessBound is the staleness bound in versions.
+	StalenessBound int64
 }
 
 // TrainerOptions configure a Trainer.
 type TrainerOptions struct {
-	Work  Workload
-	Event string
-	// Nodes lists the nodes to ask.
-	Nodes *Directory
-	// Ledger takes what the trainer posts and receives.
+	Workload Workload
+	Event    string
+	// Nodes selects the nodes for calls.
+	Nodes *NodeBalancer
+	// Ledger records what the trainer posts and receives.
 	Ledger *Ledger
 }
 
 // Trainer posts steps and reads their samples through any node.
 type Trainer struct {
-	work   Workload
-	event  string
-	nodes  *Directory
-	ledger *Ledger
-	// next is the node to ask; a failed call moves it on.
-	next  int
-	reads int
+	workload Workload
+	event    string
+	nodes    *NodeBalancer
+	ledger   *Ledger
+	// nodeIndex selects the node for calls; a failed call advances it.
+	nodeIndex int
+	readCount int
 }
 
-// NewTrainer returns a trainer that has posted nothing.
+// NewTrainer returns a trainer; Run starts posting steps.
 func NewTrainer(options TrainerOptions) *Trainer {
-	return &Trainer{work: options.Work, event: options.Event, nodes: options.Nodes, ledger: options.Ledger}
+	return &Trainer{workload: options.Workload, event: options.Event, nodes: options.Nodes, ledger: options.Ledger}
 }
 
-// Run posts and reads one step after the other.
+// Run posts and reads the steps one after the other.
 func (t *Trainer) Run(ctx context.Context) error {
-	for number := range t.work.Steps {
-		step := t.step(t.work.Earlier + number + 1)
+	for number := range t.workload.Steps {
+		step := t.newStep(t.workload.StepOffset + number + 1)
 		if err := t.post(ctx, step); err != nil {
 			return err
 		}
@@ -82,33 +84,34 @@
 	return nil
 }
 
-// step makes a step; the samples of a group share the start of their prompts.
-func (t *Trainer) step(number int) client.Step {
+// newStep returns a step. The samples of a group share a prompt prefix.
+func (t *Trainer) newStep(number int) client.Step {
 	const samplesPerGroup = 4
 	step := client.Step{
 		Event:   t.event,
-		Trainer: t.work.Trainer,
-		Step:    fmt.Sprintf("%s-%d", t.work.Trainer, number),
+		Trainer: t.workload.Trainer,
+		Step:    fmt.Sprintf("%s-%d", t.workload.Trainer, number),
 	}
-	for i := range t.work.Samples {
+	for i := range t.workload.SamplesPerStep {
 		group := fmt.Sprintf("%s-%d", step.Step, i/samplesPerGroup)
-		tokens := t.work.Tokens
-		if i%t.work.LongEvery == t.work.LongEvery-1 {
-			tokens = t.work.LongTokens
+		tokens := t.workload.MinTokens
+		if i%t.workload.LongSampleInterval == t.workload.LongSampleInterval-1 {
+			tokens = t.workload.MinLongTokens
 		}
 		step.Samples = append(step.Samples, record.Sample{
-			ID:        fmt.Sprintf("%s-%03d", t.work.Trainer, i),
-			Prompt:    promptFor(group, i, tokens),
-			MaxTokens: t.work.MaxTokens,
+			ID:        fmt.Sprintf("%s-%03d", t.workload.Trainer, i),
+			Prompt:    newPrompt(group, i, tokens),
+			MaxTokens: t.workload.MaxTokens,
 			Group:     group,
 		})
 	}
 	return step
 }
 
-// promptFor returns a prompt to which the stand-ins' model answers with a least
-// number of tokens; the length of an answer follows from the prompt.
-func promptFor(group string, speaker, tokens int) string {
+// newPrompt returns a prompt whose completion by the stand-in engines has at least
+// a number of tokens. It tries prompts in turn, because the length of a completion
+// is a function of the prompt.
+func newPrompt(group string, speaker, tokens int) string {
 	for take := 1; ; take++ {
 		prompt := fmt.Sprintf("Council hearing, recording %s. Speaker %d, take %d.", group, speaker, take)
 		if standin.CompletionLength(prompt, tokens) >= tokens {
@@ -117,13 +120,13 @@
 	}
 }
 
-// post posts a step until a node accepts it. Posting it twice is harmless.
+// post posts a step until a node accepts it. Posting a step is idempotent.
 func (t *Trainer) post(ctx context.Context, step client.Step) error {
-	return t.try(ctx, "post", step.Step, func(node *client.Client) error {
+	return t.retry(ctx, "post", step.Step, func(node *client.Client) error {
 		if _, err := node.PostStep(ctx, step); err != nil {
 			return err
 		}
-		t.ledger.Posted(step, t.work.Bound)
+		t.ledger.RecordStep(step, t.workload.StalenessBound)
 		return nil
 	})
 }
@@ -136,46 +139,48 @@
 		if err != nil {
 			return err
 		}
-		moved := page.Cursor != cursor
+		advanced := page.Cursor != cursor
 		cursor = page.Cursor
-		if page.Done && !moved {
+		if page.Done && !advanced {
 			return nil
 		}
 	}
 }
 
-// readPage reads once and takes the samples, unless the answer is dropped.
+// readPage reads one page and records its samples, unless the response is
+// discarded.
 func (t *Trainer) readPage(ctx context.Context, step, cursor string) (client.Page, error) {
 	var page client.Page
-	err := t.try(ctx, "read", step, func(node *client.Client) error {
-		newest := t.ledger.Newest()
-		answer, err := node.ReadSamples(ctx, client.Read{Step: step, After: cursor, Wait: readWait, Version: newest})
+	err := t.retry(ctx, "read", step, func(node *client.Client) error {
+		newest := t.ledger.NewestVersion()
+		response, err := node.ReadSamples(ctx, client.Read{Step: step, After: cursor, Wait: readWait, Version: newest})
 		if err != nil {
 			return err
 		}
-		t.reads++
-		if t.reads%lostAnswerEvery == 0 {
+		t.readCount++
+		if t.readCount%droppedReadInterval == 0 {
 			page = client.Page{Cursor: cursor}
 			return nil
 		}
-		t.ledger.Took(step, newest, answer.Samples)
-		page = answer
+		t.ledger.RecordReceived(step, newest, response.Samples)
+		page = response
 		return nil
 	})
 	return page, err
 }
 
-// try calls one node after another until a call succeeds or a refusal is final.
-func (t *Trainer) try(ctx context.Context, doing, step string, call func(*client.Client) error) error {
+// retry calls one node after another until a call succeeds, fails with a final
+// error or ctx ends.
+func (t *Trainer) retry(ctx context.Context, operation, step string, call func(*client.Client) error) error {
 	for {
-		err := call(t.nodes.Pick(t.next))
+		err := call(t.nodes.Pick(t.nodeIndex))
 		if err == nil {
 			return nil
 		}
 		if ctx.Err() != nil || client.IsFinal(err) {
-			return eris.Wrapf(err, "%s step %s", doing, step)
+			return eris.Wrapf(err, "%s step %s", operation, step)
 		}
-		t.next++
-		Pause(ctx, retryPause)
+		t.nodeIndex++
+		Sleep(ctx, retryDelay)
 	}
 }
