--- a/internal/command/load.go
+++ b/internal/command/load.go
@@ -78,7 +78,7 @@
 		fmt.Fprintln(c.streams.Error, "load: -nodes, -servers and -service are required, and numbers are at least 1")
 		return subcommands.ExitUsageError
 	}
-	c.options.Run = strconv.FormatInt(time.Now().UnixNano(), 36)
+	c.options.RunID = strconv.FormatInt(time.Now().UnixNano(), 36)
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
 	report, err := load.Run(ctx, c.options)
@@ -117,12 +117,12 @@
 	ways := newTable("Requests", table.Row{"way", "sent", "failed", "per second", "p50 us", "p99 us", "max us"})
 	for _, row := range []struct {
 		name string
-		way  load.Way
+		way  load.Stats
 	}{{"through nodes", report.Routed}, {"direct", report.Direct}} {
 		ways.AppendRow(table.Row{row.name, row.way.Requests, row.way.Failed, fmt.Sprintf("%.0f", row.way.PerSecond),
-			row.way.P50, row.way.P99, row.way.Max})
+			row.way.P50Micros, row.way.P99Micros, row.way.MaxMicros})
 	}
 	fmt.Fprintln(out, ways.Render())
 	fmt.Fprintf(out, "Added: p50 %d us, p99 %d us. Nodes: %.1f us processor time and %.1f allocations a request.\n",
-		report.AddedP50, report.AddedP99, report.CPU, report.Allocations)
+		report.AddedP50Micros, report.AddedP99Micros, report.CPUMicrosPerRequest, report.AllocationsPerRequest)
 }
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -1,7 +1,7 @@
-// Package load sends requests to a service through running nodes and straight to
-// its servers, in turns, and reports what a node adds: latency, processor time
-// and allocations. The turns alternate so that other work on the machine burdens
-// both alike.
+// Package load benchmarks the overhead of nodes. It sends requests to a service
+// through running nodes and directly to its servers, and reports the latency, CPU
+// time and allocations that the nodes add. Routed and direct requests alternate in
+// turns, so that other load on the machine affects both alike.
 package load
 
 import (
@@ -18,105 +18,104 @@
 	"dalehook/internal/client"
 )
 
-// The bounds of the latency histograms, in microseconds, and their precision in
-// decimal digits.
+// The bounds and the precision of the latency histograms.
 const (
-	lowestLatency  = 1
-	highestLatency = 60_000_000
-	latencyDigits  = 3
+	minLatencyMicros         = 1
+	maxLatencyMicros         = 60_000_000
+	latencySignificantDigits = 3
 )
 
-// Options configure a run.
+// Options configure a benchmark run.
 type Options struct {
-	// Nodes and Servers are http base URLs. Requests go to them in turn.
+	// Nodes and Servers are HTTP base URLs. Requests are distributed round-robin.
 	Nodes   []string
 	Servers []string
-	// Service and Path name what is asked for.
+	// Service and Path are the service and the path of requests.
 	Service string
 	Path    string
-	// Concurrency is the number of requests open at once.
+	// Concurrency is the number of concurrent requests.
 	Concurrency int
-	// Requests is the number of requests on each way, over all turns.
+	// Requests is the total number of routed requests, and that of direct ones.
 	Requests int
-	// Turns is the number of turns of each way.
+	// Turns is the number of turns of routed requests, and that of direct ones.
 	Turns int
-	// Unrepeatable sends saves with keys in place of lookups.
+	// Unrepeatable sends saves with keys instead of lookups.
 	Unrepeatable bool
-	// Run tells the keys of two runs apart.
-	Run string
-	// Deadline bounds one request.
+	// RunID makes the keys of different runs distinct.
+	RunID string
+	// Deadline bounds each request.
 	Deadline time.Duration
 }
 
-// Way is what was measured on one way to the servers. Latencies are in
-// microseconds.
-type Way struct {
+// Stats are the measurements of routed or direct requests.
+type Stats struct {
 	Requests  int     `json:"requests"`
 	Failed    int     `json:"failed"`
 	PerSecond float64 `json:"per_second"`
-	P50       int64   `json:"p50_us"`
-	P99       int64   `json:"p99_us"`
-	Max       int64   `json:"max_us"`
+	P50Micros int64   `json:"p50_us"`
+	P99Micros int64   `json:"p99_us"`
+	MaxMicros int64   `json:"max_us"`
 }
 
-// Report is the outcome of a run.
+// Report is the result of a run.
 type Report struct {
-	Routed Way `json:"routed"`
-	Direct Way `json:"direct"`
-	// AddedP50 and AddedP99 are the differences of the quantiles.
-	AddedP50 int64 `json:"added_p50_us"`
-	AddedP99 int64 `json:"added_p99_us"`
-	// CPU is the processor time of all nodes for one routed request, in
-	// microseconds, and Allocations their allocations.
-	CPU         float64 `json:"node_cpu_us_per_request"`
-	Allocations float64 `json:"node_allocations_per_request"`
-	// FirstError is the first failure, for people.
+	Routed Stats `json:"routed"`
+	Direct Stats `json:"direct"`
+	// AddedP50Micros and AddedP99Micros are the differences between the routed and
+	// the direct percentiles.
+	AddedP50Micros int64 `json:"added_p50_us"`
+	AddedP99Micros int64 `json:"added_p99_us"`
+	// CPUMicrosPerRequest and AllocationsPerRequest are the CPU time and the heap
+	// allocations of all nodes per successful or failed routed request.
+	CPUMicrosPerRequest   float64 `json:"node_cpu_us_per_request"`
+	AllocationsPerRequest float64 `json:"node_allocations_per_request"`
+	// FirstError is the text of the first error.
 	FirstError string `json:"first_error,omitempty"`
 }
 
-// runner is one run.
+// runner is the state of a run.
 type runner struct {
 	options Options
 	nodes   []*client.Client
 	servers []*client.Client
-	// next numbers the requests of the run.
-	next       atomic.Int64
+	// lastNumber is the number of the last request sent in the run.
+	lastNumber atomic.Int64
 	firstError atomic.Pointer[string]
 }
 
-// lane collects the measurements of one way.
-type lane struct {
+// recorder collects the measurements of routed or direct requests.
+type recorder struct {
 	histogram *hdrhistogram.Histogram
 	failed    int
 	elapsed   time.Duration
 }
 
-func newLane() *lane {
-	return &lane{histogram: hdrhistogram.New(lowestLatency, highestLatency, latencyDigits)}
+func newRecorder() *recorder {
+	return &recorder{histogram: hdrhistogram.New(minLatencyMicros, maxLatencyMicros, latencySignificantDigits)}
 }
 
-// Run does the run. It returns an error only when the nodes' metrics can't be
-// read; failed requests are counted.
+// Run executes a benchmark run. It returns an error only if the nodes' metrics
+// can't be read; failed requests are counted in the report.
 func Run(ctx context.Context, options Options) (Report, error) {
-	r := &runner{options: options, nodes: clients(options.Nodes), servers: clients(options.Servers)}
+	r := &runner{options: options, nodes: newClients(options.Nodes), servers: newClients(options.Servers)}
 	before, err := readUsage(ctx, options.Nodes)
 	if err != nil {
 		return Report{}, err
 	}
-	routed, direct := newLane(), newLane()
-	share := max(options.Requests/options.Turns, 1)
+	routed, direct := newRecorder(), newRecorder()
+	requestsPerTurn := max(options.Requests/options.Turns, 1)
 	for range options.Turns {
-		r.turn(ctx, share, routed, r.throughNode)
-		r.turn(ctx, share, direct, r.straight)
+		r.runTurn(ctx, requestsPerTurn, routed, r.sendRouted)
+		r.runTurn(ctx, requestsPerTurn, direct, r.sendDirect)
 	}
 	after, err := readUsage(ctx, options.Nodes)
 	if err != nil {
 		return Report{}, err
 	}
-	return r.report(routed, direct, after.minus(before)), nil
+	return r.report(routed, direct, after.sub(before)), nil
 }
 
-func clients(addresses []string) []*client.Client {
+func newClients(addresses []string) []*client.Client {
 	made := make([]*client.Client, 0, len(addresses))
 	for _, address := range addresses {
 		made = append(made, client.New(client.Options{Node: address}))
@@ -124,40 +123,40 @@
 	return made
 }
 
-// turn sends a number of requests one way, Concurrency at once.
-func (r *runner) turn(ctx context.Context, requests int, into *lane, send func(ctx context.Context, number int64) error) {
+// runTurn sends a number of requests with the send function, Concurrency at once.
+func (r *runner) runTurn(ctx context.Context, requests int, recorder *recorder, send func(ctx context.Context, number int64) error) {
 	latencies := make([]time.Duration, requests)
 	failures := make([]bool, requests)
-	var taken atomic.Int64
+	var claimed atomic.Int64
 	workers := pool.New().WithMaxGoroutines(r.options.Concurrency)
-	began := time.Now()
+	started := time.Now()
 	for range r.options.Concurrency {
 		workers.Go(func() {
 			for {
-				index := int(taken.Add(1)) - 1
+				index := int(claimed.Add(1)) - 1
 				if index >= requests {
 					return
 				}
-				started := time.Now()
-				err := send(ctx, r.next.Add(1))
-				latencies[index] = time.Since(started)
+				sentAt := time.Now()
+				err := send(ctx, r.lastNumber.Add(1))
+				latencies[index] = time.Since(sentAt)
 				failures[index] = err != nil
-				r.note(err)
+				r.recordError(err)
 			}
 		})
 	}
 	workers.Wait()
-	into.elapsed += time.Since(began)
+	recorder.elapsed += time.Since(started)
 	for index, latency := range latencies {
 		if failures[index] {
-			into.failed++
+			recorder.failed++
 			continue
 		}
-		_ = into.histogram.RecordValue(min(latency.Microseconds(), highestLatency))
+		_ = recorder.histogram.RecordValue(min(latency.Microseconds(), maxLatencyMicros))
 	}
 }
 
-func (r *runner) note(err error) {
+func (r *runner) recordError(err error) {
 	if err == nil {
 		return
 	}
@@ -165,42 +164,42 @@
 	r.firstError.CompareAndSwap(nil, &text)
 }
 
-func (r *runner) throughNode(ctx context.Context, number int64) error {
-	answer, err := r.nodes[int(number)%len(r.nodes)].Call(ctx, r.call(number))
-	return check(answer, err)
+func (r *runner) sendRouted(ctx context.Context, number int64) error {
+	response, err := r.nodes[int(number)%len(r.nodes)].Call(ctx, r.newCall(number))
+	return checkResponse(response, err)
 }
 
-func (r *runner) straight(ctx context.Context, number int64) error {
-	answer, err := r.servers[int(number)%len(r.servers)].CallDirect(ctx, r.call(number))
-	return check(answer, err)
+func (r *runner) sendDirect(ctx context.Context, number int64) error {
+	response, err := r.servers[int(number)%len(r.servers)].CallDirect(ctx, r.newCall(number))
+	return checkResponse(response, err)
 }
 
-// call makes the request of a number.
-func (r *runner) call(number int64) client.Call {
+// newCall returns the request with a number.
+func (r *runner) newCall(number int64) client.Call {
 	call := client.Call{Method: http.MethodGet, Service: r.options.Service, Path: r.options.Path, Deadline: r.options.Deadline}
 	if r.options.Unrepeatable {
 		call.Method = http.MethodPost
 		call.Body = "saved"
-		call.Key = fmt.Sprintf("load-%s-%d", r.options.Run, number)
+		call.Key = fmt.Sprintf("load-%s-%d", r.options.RunID, number)
 		call.Unrepeatable = true
 	}
 	return call
 }
 
-func check(answer client.CallAnswer, err error) error {
-	if err == nil && answer.Status != http.StatusOK {
-		return eris.Errorf("status %d: %s", answer.Status, answer.Body)
+func checkResponse(response client.CallAnswer, err error) error {
+	if err == nil && response.Status != http.StatusOK {
+		return eris.Errorf("status %d: %s", response.Status, response.Body)
 	}
 	return err
 }
 
-func (r *runner) report(routed, direct *lane, used usage) Report {
-	report := Report{Routed: routed.way(), Direct: direct.way()}
-	report.AddedP50 = report.Routed.P50 - report.Direct.P50
-	report.AddedP99 = report.Routed.P99 - report.Direct.P99
+func (r *runner) report(routed, direct *recorder, used processUsage) Report {
+	report := Report{Routed: routed.stats(), Direct: direct.stats()}
+	report.AddedP50Micros = report.Routed.P50Micros - report.Direct.P50Micros
+	report.AddedP99Micros = report.Routed.P99Micros - report.Direct.P99Micros
 	if count := float64(report.Routed.Requests); count > 0 {
-		report.CPU = used.cpuSeconds * float64(time.Second/time.Microsecond) / count
-		report.Allocations = used.allocations / count
+		report.CPUMicrosPerRequest = used.cpuSeconds * float64(time.Second/time.Microsecond) / count
+		report.AllocationsPerRequest = used.allocations / count
 	}
 	if first := r.firstError.Load(); first != nil {
 		report.FirstError = *first
@@ -208,11 +207,11 @@
 	return report
 }
 
-func (l *lane) way() Way {
-	count := int(l.histogram.TotalCount())
-	return Way{
-		Requests: count + l.failed, Failed: l.failed,
-		PerSecond: float64(count) / l.elapsed.Seconds(),
-		P50:       l.histogram.ValueAtQuantile(50), P99: l.histogram.ValueAtQuantile(99), Max: l.histogram.Max(),
+func (r *recorder) stats() Stats {
+	succeeded := int(r.histogram.TotalCount())
+	return Stats{
+		Requests: succeeded + r.failed, Failed: r.failed,
+		PerSecond: float64(succeeded) / r.elapsed.Seconds(),
+		P50Micros: r.histogram.ValueAtQuantile(50), P99Micros: r.histogram.ValueAtQuantile(99), MaxMicros: r.histogram.Max(),
 	}
 }
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -14,14 +14,14 @@
 	"dalehook/internal/load"
 )
 
-// testNode plays a node whose processor time and allocations grow by a known
-// amount with each request, and whose every failEvery-th request fails.
+// testNode simulates a node. Its CPU time and allocations grow by a fixed amount
+// with each request, and every failEvery-th request fails.
 type testNode struct {
-	requests    atomic.Int64
-	failEvery   int64
-	unmarked    atomic.Int64
-	cpu         prometheus.Counter
-	allocations prometheus.Counter
+	requests       atomic.Int64
+	failEvery      int64
+	missingHeaders atomic.Int64
+	cpu            prometheus.Counter
+	allocations    prometheus.Counter
 }
 
 func newTestNode(t *testing.T, failEvery int64) (*testNode, string) {
@@ -44,7 +44,7 @@
 	n.cpu.Add(0.0001)
 	n.allocations.Add(12)
 	if r.Header.Get("Idempotency-Key") == "" || r.Header.Get("Dalehook-Repeatable") != "no" {
-		n.unmarked.Add(1)
+		n.missingHeaders.Add(1)
 	}
 	if n.failEvery > 0 && n.requests.Add(1)%n.failEvery == 0 {
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -57,25 +57,25 @@
 	t.Cleanup(server.Close)
 	report, err := load.Run(context.Background(), load.Options{
 		Nodes: []string{address}, Servers: []string{server.URL}, Service: "exam", Path: "/saves/1",
-		Concurrency: 4, Requests: 100, Turns: 5, Unrepeatable: true, Run: "test", Deadline: time.Minute,
+		Concurrency: 4, Requests: 100, Turns: 5, Unrepeatable: true, RunID: "test", Deadline: time.Minute,
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
 	if report.Routed.Requests != 100 || report.Routed.Failed != 10 || report.Direct.Requests != 100 || report.Direct.Failed != 0 {
-		t.Fatalf("counts are off: %+v", report)
+		t.Fatalf("wrong request counts: %+v", report)
 	}
-	if report.CPU < 99.9 || report.CPU > 100.1 || report.Allocations != 12 {
-		t.Fatalf("want 100 us and 12 allocations a request, got %v and %v", report.CPU, report.Allocations)
+	if report.CPUMicrosPerRequest < 99.9 || report.CPUMicrosPerRequest > 100.1 || report.AllocationsPerRequest != 12 {
+		t.Fatalf("want 100 us and 12 allocations per request, got %v and %v", report.CPUMicrosPerRequest, report.AllocationsPerRequest)
 	}
-	if report.FirstError == "" || node.unmarked.Load() != 0 {
-		t.Fatalf("first error %q, %d requests without key or mark", report.FirstError, node.unmarked.Load())
+	if report.FirstError == "" || node.missingHeaders.Load() != 0 {
+		t.Fatalf("first error %q, %d requests without Idempotency-Key or Dalehook-Repeatable header", report.FirstError, node.missingHeaders.Load())
 	}
 }
 
-func TestRunNeedsMetrics(t *testing.T) {
+func TestRunFailsWithoutMetrics(t *testing.T) {
 	_, err := load.Run(context.Background(), load.Options{Nodes: []string{"http://127.0.0.1:1"}, Turns: 1, Requests: 1, Concurrency: 1})
 	if err == nil {
-		t.Fatal("a node that does not answer was measured")
+		t.Fatal("no error for an unreachable node")
 	}
 }
--- a/internal/load/usage.go
+++ b/internal/load/usage.go
@@ -9,29 +9,29 @@
 	"github.com/rotisserie/eris"
 )
 
-// The metrics of a node's process that a run reads.
+// The process metrics that are read from each node.
 const (
 	metricCPU         = "process_cpu_seconds_total"
 	metricAllocations = "go_memstats_mallocs_total"
 )
 
-// usage is what nodes have used since their start, summed over them.
-type usage struct {
+// processUsage is the cumulative resource usage of node processes.
+type processUsage struct {
 	cpuSeconds  float64
 	allocations float64
 }
 
-func (u usage) minus(earlier usage) usage {
-	return usage{cpuSeconds: u.cpuSeconds - earlier.cpuSeconds, allocations: u.allocations - earlier.allocations}
+func (u processUsage) sub(earlier processUsage) processUsage {
+	return processUsage{cpuSeconds: u.cpuSeconds - earlier.cpuSeconds, allocations: u.allocations - earlier.allocations}
 }
 
-// readUsage reads the metrics of all nodes.
-func readUsage(ctx context.Context, nodes []string) (usage, error) {
-	var total usage
+// readUsage returns the total usage of all nodes.
+func readUsage(ctx context.Context, nodes []string) (processUsage, error) {
+	var total processUsage
 	for _, node := range nodes {
 		used, err := readNodeUsage(ctx, node)
 		if err != nil {
-			return usage{}, eris.Wrapf(err, "read metrics of node %s", node)
+			return processUsage{}, eris.Wrapf(err, "read metrics of node %s", node)
 		}
 		total.cpuSeconds += used.cpuSeconds
 		total.allocations += used.allocations
@@ -39,22 +39,22 @@
 	return total, nil
 }
 
-func readNodeUsage(ctx context.Context, node string) (usage, error) {
+func readNodeUsage(ctx context.Context, node string) (processUsage, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, node+"/metrics", nil)
 	if err != nil {
-		return usage{}, err
+		return processUsage{}, err
 	}
 	response, err := http.DefaultClient.Do(request)
 	if err != nil {
-		return usage{}, err
+		return processUsage{}, err
 	}
 	defer response.Body.Close()
 	parser := expfmt.NewTextParser(model.UTF8Validation)
 	families, err := parser.TextToMetricFamilies(response.Body)
 	if err != nil {
-		return usage{}, err
+		return processUsage{}, err
 	}
-	var used usage
+	var used processUsage
 	for _, metric := range families[metricCPU].GetMetric() {
 		used.cpuSeconds += metric.GetCounter().GetValue()
 	}
