--- a/internal/command/demo.go
+++ b/internal/command/demo.go
@@ -80,7 +80,7 @@
 		fmt.Fprintf(c.streams.Error, "demo: %v\n", err)
 		return subcommands.ExitFailure
 	}
-	if !result.Clean() {
+	if !result.Passed() {
 		return subcommands.ExitFailure
 	}
 	return subcommands.ExitSuccess
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -1,7 +1,7 @@
-// Package demo runs a whole deployment in one process on real loopback sockets:
-// the stand-ins of the platform, of engines and of service servers, the nodes,
-// and trainers and callers in front of them. What it reports was counted by
-// trainers, callers and stand-ins; no node is asked.
+// Package demo runs a complete deployment in one process on loopback sockets:
+// stand-ins for the platform, the engines and the service servers, the nodes, and
+// trainers and callers as their clients. All results are counted by trainers,
+// callers and stand-ins; none are taken from a node.
 package demo
 
 import (
@@ -24,7 +24,7 @@
 	"dalehook/internal/traffic"
 )
 
-// The names that the deployment goes by.
+// The names used in the deployment.
 const (
 	region      = cluster.RegionName("arequipa")
 	enginePool  = "language"
@@ -33,53 +33,55 @@
 	eventName   = "council hearing"
 )
 
-// auditTimeout bounds the reading of the servers' counts after the work.
+// auditTimeout bounds the reading of the servers' counts after the workloads end.
 const auditTimeout = 2 * time.Second
 
-// eventLead is the time between the planning of the event and its start.
-const eventLead = 4 * time.Second
+// eventLeadTime is the time between planning the event and its start.
+const eventLeadTime = 4 * time.Second
 
-// callTries is how often a caller sends a request until it counts as lost.
-const callTries = 8
+// maxCallAttempts is the number of times that a caller sends a request before it
+// counts as lost.
+const maxCallAttempts = 8
 
-// Options configure a run. DefaultOptions holds the sizes of Arequipa.
+// Options configure a run. DefaultOptions returns the sizes of the Arequipa
+// deployment.
 type Options struct {
 	Zones   []cluster.ZoneName
 	Nodes   int
 	Engines int
 	Servers int
 
-	// EngineSlots is the largest batch of an engine, TokenTime its time for a
-	// token, SwapTime its pause while it changes versions.
+	// EngineSlots is the maximum batch size of an engine, TokenTime its time per
+	// token, SwapTime its pause while it swaps versions.
 	EngineSlots int
 	TokenTime   time.Duration
 	SwapTime    time.Duration
-	// WeightsRate limits the weight store in fetches a second.
+	// WeightsRate limits the weight store's fetches per second.
 	WeightsRate  float64
 	WeightsBurst int
 	ListLag      time.Duration
 	ServiceTime  time.Duration
-	// Capacity is what the nodes are told of these machines.
+	// Capacity is the nodes' configured capacity of these machines.
 	Capacity settings.Capacity
 
-	// Workloads are the trainers' steps.
+	// Workloads holds the workload of each trainer.
 	Workloads []traffic.Workload
-	// Versions is the number of versions announced, VersionEvery apart.
-	Versions     int
-	VersionEvery time.Duration
-	// Callers work at the same time and send Requests through the nodes and as
-	// many direct.
+	// Versions is the number of versions announced, one every VersionInterval.
+	Versions        int
+	VersionInterval time.Duration
+	// Callers is the number of concurrent callers. Together they send Requests
+	// requests through the nodes and as many directly to the servers.
 	Callers  int
 	Requests int
 
 	// Timeout bounds the run.
 	Timeout time.Duration
-	// Progress takes a line now and then; nil for none.
+	// Progress receives progress output; nil disables it.
 	Progress io.Writer
 	Logger   *zap.Logger
 }
 
-// DefaultOptions returns a run at the sizes of Arequipa.
+// DefaultOptions returns options with the sizes of the Arequipa deployment.
 func DefaultOptions() Options {
 	return Options{
 		Zones:        []cluster.ZoneName{"cercado", "yanahuara", "cayma"},
@@ -105,27 +107,27 @@
 			{Trainer: "captions", Steps: 3, StepInterval: 3 * time.Second, SamplesPerStep: 96, MinTokens: 16, MinLongTokens: 260, MaxTokens: 300, LongSampleInterval: 24, StalenessBound: 1},
 			{Trainer: "summaries", Steps: 2, StepInterval: 6 * time.Second, SamplesPerStep: 48, MinTokens: 120, MinLongTokens: 640, MaxTokens: 720, LongSampleInterval: 12, StalenessBound: 2},
 		},
-		Versions:     4,
-		VersionEvery: 3 * time.Second,
-		Callers:      24,
-		Requests:     6000,
-		Timeout:      26 * time.Second,
+		Versions:        4,
+		VersionInterval: 3 * time.Second,
+		Callers:         24,
+		Requests:        6000,
+		Timeout:         26 * time.Second,
 	}
 }
 
-// Run starts the deployment, does the work and returns what was counted.
+// Run starts the deployment, runs the workloads and returns the counts.
 func Run(ctx context.Context, options Options) (Result, error) {
 	ctx, cancel := context.WithTimeout(ctx, options.Timeout)
 	defer cancel()
-	started, err := newDeployment(ctx, options)
+	deployment, err := newDeployment(ctx, options)
 	if err != nil {
 		return Result{}, err
 	}
-	defer started.close()
-	return newRun(options, started).all(ctx)
+	defer deployment.close()
+	return newRun(options, deployment).execute(ctx)
 }
 
-// run is the work of one demo.
+// run is the state of one demo run.
 type run struct {
 	options    Options
 	deployment *deployment
@@ -134,49 +136,49 @@
 	callers    *traffic.Callers
 }
 
-func newRun(options Options, started *deployment) *run {
-	nodes := traffic.NewNodeBalancer(started.nodeAddresses())
+func newRun(options Options, deployment *deployment) *run {
+	nodes := traffic.NewNodeBalancer(deployment.nodeAddresses())
 	return &run{
 		options:    options,
-		deployment: started,
+		deployment: deployment,
 		ledger:     traffic.NewLedger(),
 		nodes:      nodes,
 		callers: traffic.NewCallers(traffic.CallersOptions{
 			Service:     serviceName,
 			Nodes:       nodes,
-			Servers:     started.serverClients(),
+			Servers:     deployment.serverClients(),
 			Workers:     options.Callers,
 			Requests:    options.Requests,
 			SendDirect:  true,
-			MaxAttempts: callTries,
+			MaxAttempts: maxCallAttempts,
 		}),
 	}
 }
 
-func (r *run) all(ctx context.Context) (Result, error) {
+func (r *run) execute(ctx context.Context) (Result, error) {
 	start := time.Now()
 	if err := r.prepare(ctx); err != nil {
 		return Result{}, err
 	}
-	working, stop := context.WithCancel(ctx)
+	workCtx, cancelWork := context.WithCancel(ctx)
 	var background conc.WaitGroup
-	background.Go(func() { r.nodes.Run(working) })
-	background.Go(func() { r.report(working) })
-	err := r.work(ctx)
-	stop()
+	background.Go(func() { r.nodes.Run(workCtx) })
+	background.Go(func() { r.reportProgress(workCtx) })
+	err := r.runWorkloads(ctx)
+	cancelWork()
 	background.Wait()
 	if err != nil {
-		r.say("\n%v\n", err)
+		r.printf("\n%v\n", err)
 	}
-	auditing, cancel := context.WithTimeout(context.WithoutCancel(ctx), auditTimeout)
+	auditCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), auditTimeout)
 	defer cancel()
-	requests, auditErr := r.callers.Audit(auditing)
+	requests, auditErr := r.callers.Audit(auditCtx)
 	if auditErr != nil {
 		return Result{}, auditErr
 	}
 	result := newResult(r.ledger.Counts(), requests, time.Since(start))
 	if err != nil {
-		result.errors = append(result.errors, err.Error())
+		result.runErrors = append(result.runErrors, err.Error())
 	}
 	return result, nil
 }
@@ -184,30 +186,30 @@
 // prepare waits for the nodes, publishes the first version, and plans and
 // confirms the event.
 func (r *run) prepare(ctx context.Context) error {
-	r.say("Waiting for %d nodes.\n", r.options.Nodes)
+	r.printf("Waiting for %d nodes.\n", r.options.Nodes)
 	if err := r.deployment.awaitReady(ctx); err != nil {
 		return err
 	}
 	if err := r.publish(ctx, 1); err != nil {
 		return err
 	}
-	r.say("Planning and confirming the event.\n")
-	plan, err := r.confirm(ctx)
+	r.printf("Planning and confirming the event.\n")
+	plan, err := r.planAndConfirm(ctx)
 	if err != nil {
 		return err
 	}
-	r.say("Waiting for %d of %d engines to load version 1, as planned.\n", len(plan.Loads), r.options.Engines)
+	r.printf("Waiting for %d of %d engines to load version 1, as planned.\n", len(plan.Loads), r.options.Engines)
 	return r.deployment.awaitLoads(ctx, plan.Loads)
 }
 
-// work runs trainers, callers and announcements side by side.
-func (r *run) work(ctx context.Context) error {
+// runWorkloads runs trainers, callers and version announcements concurrently.
+func (r *run) runWorkloads(ctx context.Context) error {
 	tasks := pool.New().WithErrors().WithContext(ctx)
-	for _, work := range r.options.Workloads {
-		trainer := traffic.NewTrainer(traffic.TrainerOptions{Workload: work, Event: eventName, Nodes: r.nodes, Ledger: r.ledger})
+	for _, workload := range r.options.Workloads {
+		trainer := traffic.NewTrainer(traffic.TrainerOptions{Workload: workload, Event: eventName, Nodes: r.nodes, Ledger: r.ledger})
 		tasks.Go(trainer.Run)
 	}
-	tasks.Go(r.announce)
+	tasks.Go(r.publishVersions)
 	tasks.Go(func(ctx context.Context) error {
 		r.callers.Run(ctx)
 		return nil
@@ -215,10 +217,10 @@
 	return tasks.Wait()
 }
 
-// announce publishes the further versions while the trainers work.
-func (r *run) announce(ctx context.Context) error {
+// publishVersions publishes all versions after the first while the trainers run.
+func (r *run) publishVersions(ctx context.Context) error {
 	for version := 2; version <= r.options.Versions; version++ {
-		traffic.Sleep(ctx, r.options.VersionEvery)
+		traffic.Sleep(ctx, r.options.VersionInterval)
 		if err := r.publish(ctx, cluster.Version(version)); err != nil {
 			return err
 		}
@@ -226,8 +228,8 @@
 	return nil
 }
 
-// publish puts a version into the weight store and announces it on the log, as
-// a trainer does.
+// publish uploads a version to the weight store and announces it on the control
+// log, as a trainer does.
 func (r *run) publish(ctx context.Context, version cluster.Version) error {
 	weights := []byte(fmt.Sprintf("weights of %s, version %d", modelName, version))
 	if err := r.deployment.platform.PutWeights(ctx, modelName, version, weights); err != nil {
@@ -247,11 +249,11 @@
 	return nil
 }
 
-// event is what the operator asks for.
-func (r *run) event() record.Event {
+// newEvent returns the event that the operator plans.
+func (r *run) newEvent() record.Event {
 	event := record.Event{
 		Name:     eventName,
-		Start:    time.Now().Add(eventLead).UTC(),
+		Start:    time.Now().Add(eventLeadTime).UTC(),
 		Duration: record.Duration(time.Hour),
 		Crowd:    r.options.Requests,
 		Arrival:  record.Duration(time.Minute),
@@ -262,59 +264,59 @@
 			Importance:        10,
 		}},
 	}
-	for _, work := range r.options.Workloads {
+	for _, workload := range r.options.Workloads {
 		event.Rollouts = append(event.Rollouts, record.RolloutDemand{
-			Trainer:        work.Trainer,
+			Trainer:        workload.Trainer,
 			Pool:           enginePool,
 			Model:          modelName,
-			SamplesPerStep: work.SamplesPerStep,
-			MeanTokens:     2 * work.MinTokens,
-			MaxTokens:      work.MaxTokens,
-			StepEvery:      record.Duration(work.StepInterval),
-			StalenessBound: work.StalenessBound,
+			SamplesPerStep: workload.SamplesPerStep,
+			MeanTokens:     2 * workload.MinTokens,
+			MaxTokens:      workload.MaxTokens,
+			StepEvery:      record.Duration(workload.StepInterval),
+			StalenessBound: workload.StalenessBound,
 			Importance:     5,
 		})
 	}
 	return event
 }
 
-// confirm asks one node for the plan and confirms it at another.
-func (r *run) confirm(ctx context.Context) (record.Plan, error) {
+// planAndConfirm requests the plan from one node and confirms it at another.
+func (r *run) planAndConfirm(ctx context.Context) (record.Plan, error) {
 	nodes := r.deployment.nodeClients()
-	var made client.PlanAnswer
-	// The node may not have read the announcement, or seen all engines, yet.
-	err := persist(ctx, "plan the event", func() (err error) {
-		made, err = nodes[0].MakePlan(ctx, r.event())
-		if err == nil && len(made.Plan.Missing) > 0 {
-			err = eris.Errorf("the plan can't be met: %s", strings.Join(made.Plan.Missing, "; "))
+	var planned client.PlanAnswer
+	// The node may not have read the announcement or discovered all engines yet.
+	err := retry(ctx, "plan the event", func() (err error) {
+		planned, err = nodes[0].MakePlan(ctx, r.newEvent())
+		if err == nil && len(planned.Plan.Missing) > 0 {
+			err = eris.Errorf("the plan can't be met: %s", strings.Join(planned.Plan.Missing, "; "))
 		}
 		return err
 	})
 	if err != nil {
 		return record.Plan{}, err
 	}
-	confirmation := client.Confirmation{Digest: made.Plan.Digest, Revision: made.Plan.Base, Operator: "demo"}
-	err = persist(ctx, "confirm the plan", func() error {
+	confirmation := client.Confirmation{Digest: planned.Plan.Digest, Revision: planned.Plan.Base, Operator: "demo"}
+	err = retry(ctx, "confirm the plan", func() error {
 		_, err := nodes[len(nodes)-1].ConfirmPlan(ctx, confirmation)
 		return err
 	})
-	return made.Plan, err
+	return planned.Plan, err
 }
 
-// report writes the state of the run every now and then.
-func (r *run) report(ctx context.Context) {
-	const every = 250 * time.Millisecond
+// reportProgress prints the state of the run periodically.
+func (r *run) reportProgress(ctx context.Context) {
+	const interval = 250 * time.Millisecond
 	for ctx.Err() == nil {
 		samples, requests := r.ledger.Counts(), r.callers.SuccessCount()
-		r.say("\r%4d of %d samples delivered, version %d, %5d of %d requests answered", samples.Delivered, samples.Samples,
+		r.printf("\r%4d of %d samples delivered, version %d, %5d of %d requests answered", samples.Delivered, samples.Samples,
 			r.ledger.NewestVersion(), requests, r.options.Requests)
-		traffic.Sleep(ctx, every)
+		traffic.Sleep(ctx, interval)
 	}
-	r.say("\n")
+	r.printf("\n")
 }
 
-// say writes progress, if anyone wants it.
-func (r *run) say(format string, arguments ...any) {
+// printf writes progress output, if it is enabled.
+func (r *run) printf(format string, arguments ...any) {
 	if r.options.Progress != nil {
 		fmt.Fprintf(r.options.Progress, format, arguments...)
 	}
--- a/internal/demo/demo_test.go
+++ b/internal/demo/demo_test.go
@@ -29,7 +29,7 @@
 	)
 }
 
-func TestResultWritesATableAndOneJSONLine(t *testing.T) {
+func TestResultWritesTableAndJSONLine(t *testing.T) {
 	var out bytes.Buffer
 	if err := newTestResult().Write(&out); err != nil {
 		t.Fatal(err)
@@ -39,15 +39,15 @@
 	lines := strings.Split(strings.TrimSpace(out.String()), "\n")
 	var fields map[string]float64
 	if err := json.Unmarshal([]byte(lines[len(lines)-1]), &fields); err != nil {
-		t.Fatalf("the last line is no JSON: %v", err)
+		t.Fatalf("last line is not JSON: %v", err)
 	}
 	want := []string{"delivered", "direct_p50_ms", "direct_p99_ms", "duplicated", "lost", "p50_ms", "p99_ms", "requests", "samples", "stale", "steps"}
 	if diff := cmp.Diff(want, slices.Sorted(maps.Keys(fields))); diff != "" {
-		t.Errorf("the line's fields differ (-want +got):\n%s", diff)
+		t.Errorf("fields of the JSON line differ (-want +got):\n%s", diff)
 	}
 }
 
-func TestResultIsCleanOnlyWhenNothingWentWrong(t *testing.T) {
+func TestResultPassedRequiresNoErrors(t *testing.T) {
 	tests := []struct {
 		name   string
 		change func(*Result)
@@ -55,23 +55,24 @@
 	}{
 		{"nothing", func(*Result) {}, true},
 		{"lost", func(r *Result) { r.Lost = 1 }, false},
-		{"doubled", func(r *Result) { r.Duplicated = 1 }, false},
+		{"duplicated", func(r *Result) { r.Duplicated = 1 }, false},
 		{"stale", func(r *Result) { r.Stale = 1 }, false},
-		{"garbled", func(r *Result) { r.bySample.Errors = []string{"text"} }, false},
-		{"cut short", func(r *Result) { r.errors = []string{"time"} }, false},
+		{"invalid sample", func(r *Result) { r.sampleCounts.Errors = []string{"text"} }, false},
+		{"ended early", func(r *Result) { r.runErrors = []string{"time"} }, false},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			result := newTestResult()
 			test.change(&result)
-			if got := result.Clean(); got != test.want {
-				t.Errorf("clean is %v, want %v", got, test.want)
+			if got := result.Passed(); got != test.want {
+				t.Errorf("passed is %v, want %v", got, test.want)
 			}
 		})
 	}
 }
 
-// TestRun runs a small demo; only the test's own time limit bounds it.
+// TestRun runs a small demo. The demo's timeout is long enough that only the test
+// timeout applies.
 func TestRun(t *testing.T) {
 	options := DefaultOptions()
 	options.Engines = 3
@@ -79,7 +80,7 @@
 	options.Requests = 200
 	options.Callers = 4
 	options.Versions = 2
-	options.VersionEvery = 500 * time.Millisecond
+	options.VersionInterval = 500 * time.Millisecond
 	options.Timeout = 10 * time.Minute
 	options.Workloads = []traffic.Workload{
 		{Trainer: "captions", Steps: 2, StepInterval: time.Minute, SamplesPerStep: 16, MinTokens: 16, MinLongTokens: 60, MaxTokens: 80, LongSampleInterval: 8, StalenessBound: 1},
@@ -88,7 +89,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !result.Clean() || result.Delivered != 32 || result.Requests != 200 {
-		t.Errorf("result %+v with faults %v", result, result.Faults())
+	if !result.Passed() || result.Delivered != 32 || result.Requests != 200 {
+		t.Errorf("result %+v with errors %v", result, result.Errors())
 	}
 }
--- a/internal/demo/deployment.go
+++ b/internal/demo/deployment.go
@@ -15,30 +15,31 @@
 	"dalehook/internal/standin"
 )
 
-// anyPort is an address with a free port.
-const anyPort = "127.0.0.1:0"
+// freePortAddress is a loopback address at which the system picks a free port.
+const freePortAddress = "127.0.0.1:0"
 
-// deployment is everything that runs during the demo, in one process but on
-// real sockets.
+// deployment holds the stand-ins and nodes of the demo. They run in one process
+// and communicate over sockets.
 type deployment struct {
 	options     Options
 	platformURL string
 	platform    *platform.Client
 	// engines holds the engines' addresses.
-	engines  map[cluster.BackendID]string
-	services []string
-	nodes    []*daemon.Daemon
-	running  *pool.ErrorPool
-	// closers close the stand-ins, the last started first.
+	engines   map[cluster.BackendID]string
+	services  []string
+	nodes     []*daemon.Daemon
+	nodeTasks *pool.ErrorPool
+	// closers holds the functions that close the stand-ins. They are called in
+	// reverse order.
 	closers []func()
 }
 
 // newDeployment starts the stand-ins and the nodes.
 func newDeployment(ctx context.Context, options Options) (*deployment, error) {
 	d := &deployment{
-		options: options,
-		engines: map[cluster.BackendID]string{},
-		running: pool.New().WithErrors(),
+		options:   options,
+		engines:   map[cluster.BackendID]string{},
+		nodeTasks: pool.New().WithErrors(),
 	}
 	if err := d.start(ctx); err != nil {
 		d.close()
@@ -74,13 +75,13 @@
 	if err != nil {
 		return err
 	}
-	stand := standin.NewPlatform(standin.PlatformOptions{
+	platformServer := standin.NewPlatform(standin.PlatformOptions{
 		ListLag:      d.options.ListLag,
 		WeightsRate:  d.options.WeightsRate,
 		WeightsBurst: d.options.WeightsBurst,
 	})
-	d.closers = append(d.closers, stand.Close)
-	server.Serve(stand.Handler())
+	d.closers = append(d.closers, platformServer.Close)
+	server.Serve(platformServer.Handler())
 	d.platformURL = server.URL()
 	d.platform = platform.NewClient(platform.Options{LogURL: d.platformURL})
 	return nil
@@ -92,7 +93,7 @@
 		return err
 	}
 	machine := d.machine(server, "engine", enginePool, number)
-	stand := standin.NewEngine(standin.EngineOptions{
+	engine := standin.NewEngine(standin.EngineOptions{
 		Machine:     machine,
 		PlatformURL: d.platformURL,
 		WeightsURL:  d.platformURL,
@@ -100,8 +101,8 @@
 		TokenTime:   d.options.TokenTime,
 		SwapTime:    d.options.SwapTime,
 	})
-	d.closers = append(d.closers, stand.Close)
-	server.Serve(stand.Handler())
+	d.closers = append(d.closers, engine.Close)
+	server.Serve(engine.Handler())
 	d.engines[machine.ID] = server.URL()
 	return nil
 }
@@ -111,20 +112,20 @@
 	if err != nil {
 		return err
 	}
-	stand := standin.NewService(standin.ServiceOptions{
+	service := standin.NewService(standin.ServiceOptions{
 		Machine:     d.machine(server, "bridge", serviceName, number),
 		PlatformURL: d.platformURL,
 		ServiceTime: d.options.ServiceTime,
 	})
-	d.closers = append(d.closers, stand.Close)
-	server.Serve(stand.Handler())
+	d.closers = append(d.closers, service.Close)
+	server.Serve(service.Handler())
 	d.services = append(d.services, server.URL())
 	return nil
 }
 
 // listen opens a stand-in's listener.
 func (d *deployment) listen() (*standin.Server, error) {
-	server, err := standin.Listen(anyPort)
+	server, err := standin.Listen(freePortAddress)
 	if err != nil {
 		return nil, eris.Wrap(err, "start a stand-in")
 	}
@@ -132,7 +133,7 @@
 	return server, nil
 }
 
-// machine returns a stand-in's line on the machine list.
+// machine returns a stand-in's entry for the machine list.
 func (d *deployment) machine(server *standin.Server, kind, pool string, number int) cluster.Machine {
 	return cluster.Machine{
 		ID:      cluster.BackendID(fmt.Sprintf("%s-%d", kind, number+1)),
@@ -143,53 +144,53 @@
 	}
 }
 
-// zone deals the zones out in turn.
+// zone assigns zones round-robin.
 func (d *deployment) zone(number int) cluster.ZoneName {
 	return d.options.Zones[number%len(d.options.Zones)]
 }
 
 func (d *deployment) startNode(ctx context.Context, number int) error {
-	chosen := settings.Default()
-	chosen.Node = settings.Identity{
+	nodeSettings := settings.Default()
+	nodeSettings.Node = settings.Identity{
 		ID:     cluster.NodeID(fmt.Sprintf("node-%d", number+1)),
 		Zone:   d.zone(number),
 		Region: region,
 	}
-	chosen.Zones = d.options.Zones
-	chosen.Platform = settings.Platform{
+	nodeSettings.Zones = d.options.Zones
+	nodeSettings.Platform = settings.Platform{
 		Log:      settings.URL(d.platformURL),
 		Weights:  settings.URL(d.platformURL),
 		Machines: settings.URL(d.platformURL),
 	}
-	chosen.Capacity = d.options.Capacity
-	for _, earlier := range d.nodes {
-		chosen.Peers = append(chosen.Peers, earlier.Self().PeerAddress)
+	nodeSettings.Capacity = d.options.Capacity
+	for _, peer := range d.nodes {
+		nodeSettings.Peers = append(nodeSettings.Peers, peer.Self().PeerAddress)
 	}
-	started, err := daemon.New(daemon.Options{Settings: chosen, Logger: d.options.Logger})
+	node, err := daemon.New(daemon.Options{Settings: nodeSettings, Logger: d.options.Logger})
 	if err != nil {
 		return err
 	}
-	d.nodes = append(d.nodes, started)
-	d.running.Go(func() error { return started.Run(ctx) })
+	d.nodes = append(d.nodes, node)
+	d.nodeTasks.Go(func() error { return node.Run(ctx) })
 	return nil
 }
 
 // nodeAddresses returns the HTTP address of each node.
 func (d *deployment) nodeAddresses() []string {
 	addresses := make([]string, len(d.nodes))
-	for i, started := range d.nodes {
-		addresses[i] = started.Self().ClientAddress
+	for i, node := range d.nodes {
+		addresses[i] = node.Self().ClientAddress
 	}
 	return addresses
 }
 
 // nodeClients returns a client for each node.
-func (d *deployment) nodeClients() []*client.Client { return clientsOf(d.nodeAddresses()) }
+func (d *deployment) nodeClients() []*client.Client { return newClients(d.nodeAddresses()) }
 
 // serverClients returns a client for each service server.
-func (d *deployment) serverClients() []*client.Client { return clientsOf(d.services) }
+func (d *deployment) serverClients() []*client.Client { return newClients(d.services) }
 
-func clientsOf(addresses []string) []*client.Client {
+func newClients(addresses []string) []*client.Client {
 	clients := make([]*client.Client, len(addresses))
 	for i, address := range addresses {
 		clients[i] = client.New(client.Options{Node: address})
@@ -197,12 +198,12 @@
 	return clients
 }
 
-// close stops the nodes at once and then the stand-ins.
+// close stops the nodes without draining and then closes the stand-ins.
 func (d *deployment) close() {
-	for _, started := range d.nodes {
-		started.Stop()
+	for _, node := range d.nodes {
+		node.Stop()
 	}
-	_ = d.running.Wait()
+	_ = d.nodeTasks.Wait()
 	for i := len(d.closers) - 1; i >= 0; i-- {
 		d.closers[i]()
 	}
