--- a/internal/standin/engine_http.go
+++ b/internal/standin/engine_http.go
@@ -98,7 +98,7 @@
 	writeJSON(w, http.StatusOK, backend.ExportedKV{Handle: kvHandle(g.request.Prompt), Tokens: g.kvTokens()})
 }
 
-// kvHandle names the KV cache of a prompt; any engine can import it.
+// kvHandle returns the handle of a prompt's KV cache. Any engine can import it.
 func kvHandle(prompt string) string {
 	return fmt.Sprintf("kv-%016x", xxhash.Sum64String(prompt))
 }
@@ -192,7 +192,7 @@
 // checkAdmissionLocked returns the error response for a new request that is
 // rejected, or nil if the request is admitted.
 func (e *Engine) checkAdmissionLocked(request backend.CompletionRequest) *errorResponse {
-	busy := func(code, message string) *errorResponse {
+	unavailable := func(code, message string) *errorResponse {
 		return &errorResponse{
 			status:     http.StatusServiceUnavailable,
 			code:       code,
@@ -202,15 +202,15 @@
 	}
 	switch {
 	case e.leaving:
-		return busy("leaving", "the engine is leaving")
+		return unavailable("leaving", "the engine is leaving")
 	case e.faults.active(FaultRefuse):
-		return busy("refused", "the engine takes no new work")
+		return unavailable("refused", "the engine takes no new work")
 	case e.version == 0:
-		return busy("no_weights", "no version is loaded")
+		return unavailable("no_weights", "no version is loaded")
 	case request.Model != "" && request.Model != e.model:
 		return &errorResponse{status: http.StatusConflict, code: "wrong_model", message: "another model is loaded"}
 	case len(e.queue) >= e.options.QueueLimit:
-		return busy("busy", "the queue is full")
+		return unavailable("busy", "the queue is full")
 	}
 	return checkResume(request)
 }
--- a/internal/standin/engine_test.go
+++ b/internal/standin/engine_test.go
@@ -170,19 +170,19 @@
 }
 
 func TestCompletionLengthsAreHeavyTailed(t *testing.T) {
-	long := 0
+	longCount := 0
 	for i := range 1000 {
 		length := standin.CompletionLength(strings.Repeat("p", i), 4096)
 		if length < 16 || length > 4096 {
 			t.Fatalf("length %d", length)
 		}
 		if length > 10*16 {
-			long++
+			longCount++
 		}
 	}
 	// About 79 are expected: 10^-1.1 of 1000.
-	if long < 50 || long > 120 {
-		t.Errorf("%d of 1000 completions are longer than ten times the minimum", long)
+	if longCount < 50 || longCount > 120 {
+		t.Errorf("%d of 1000 completions are longer than ten times the minimum", longCount)
 	}
 }
 
--- a/internal/standin/load_test.go
+++ b/internal/standin/load_test.go
@@ -109,15 +109,15 @@
 	options := standin.EngineOptions{ReportLag: 10 * time.Second}
 	withEngine(t, options, func(b *engineFixture) {
 		time.Sleep(time.Minute)
-		var during []int
+		var runningCounts []int
 		start := newAttempt(0, 4000)
 		b.generateWithHook(start, func(chunk machine.AttemptChunk) {
 			if chunk.FromToken%1000 == 0 {
-				during = append(during, b.report().Running)
+				runningCounts = append(runningCounts, b.report().Running)
 			}
 		})
 		// Eight tokens take 80 ms, 1000 tokens take 10 s.
-		if diff := cmp.Diff([]int{0, 1, 1, 1}, during); diff != "" {
+		if diff := cmp.Diff([]int{0, 1, 1, 1}, runningCounts); diff != "" {
 			t.Error(diff)
 		}
 		if running := b.report().Running; running != 1 {
@@ -149,8 +149,8 @@
 func TestWeightFetchIsRateLimited(t *testing.T) {
 	withEngine(t, standin.EngineOptions{}, func(b *engineFixture) {
 		options := standin.PlatformOptions{WeightsRate: 0.1}
-		weights := standin.NewPlatform(options)
-		b.network.serve(b.t, platformAddress, weights.Handler())
+		store := standin.NewPlatform(options)
+		b.network.serve(b.t, platformAddress, store.Handler())
 		client := b.network.platformClient(b.t, platformAddress)
 		if err := client.PutWeights(b.t.Context(), model, 2, []byte("w")); err != nil {
 			t.Fatal(err)
@@ -159,15 +159,15 @@
 		if err != nil || string(got) != "w" {
 			t.Errorf("first fetch: %q, %v", got, err)
 		}
-		begun := time.Now()
+		started := time.Now()
 		b.startEngine("fetching:80", standin.EngineOptions{
 			WeightsURL: "http://" + platformAddress,
 			SwapTime:   time.Second,
 			Dial:       b.network.dial,
 		})
-		load := newOrder(1, 2)
-		load.Address = "fetching:80"
-		b.engine.Order(b.t.Context(), load)
+		loadOrder := newOrder(1, 2)
+		loadOrder.Address = "fetching:80"
+		b.engine.Order(b.t.Context(), loadOrder)
 		for {
 			report := b.engine.Report(b.t.Context(), machine.PollBackend{Address: "fetching:80"})
 			if report.Version == 2 {
@@ -175,12 +175,12 @@
 			}
 			time.Sleep(100 * time.Millisecond)
 		}
-		if took := time.Since(begun); took < 10*time.Second || took > 12*time.Second {
+		if took := time.Since(started); took < 10*time.Second || took > 12*time.Second {
 			t.Errorf("load duration %v with a store limited to one fetch in ten seconds", took)
 		}
-		load.Version = 9
-		load.Fence.Epoch = 2
-		b.engine.Order(b.t.Context(), load)
+		loadOrder.Version = 9
+		loadOrder.Fence.Epoch = 2
+		b.engine.Order(b.t.Context(), loadOrder)
 		time.Sleep(time.Hour)
 		report := b.engine.Report(b.t.Context(), machine.PollBackend{Address: "fetching:80"})
 		if report.Version != 2 || report.LoadError == "" {
--- a/internal/standin/platform_test.go
+++ b/internal/standin/platform_test.go
@@ -55,11 +55,11 @@
 
 func TestLongPollReturnsOnAppend(t *testing.T) {
 	withPlatform(t, standin.PlatformOptions{}, func(t *testing.T, p *pipeNetwork, client *platform.Client) {
-		begun := time.Now()
+		started := time.Now()
 		if entries, _, err := client.Read(t.Context(), "l", 1, 20*time.Second); len(entries) != 0 || err != nil {
 			t.Errorf("%d entries, %v", len(entries), err)
 		}
-		if waited := time.Since(begun); waited != 20*time.Second {
+		if waited := time.Since(started); waited != 20*time.Second {
 			t.Errorf("read of an empty log waited %v", waited)
 		}
 		read := make(chan []platform.Entry)
--- a/internal/standin/service_test.go
+++ b/internal/standin/service_test.go
@@ -143,17 +143,17 @@
 			go func() { results <- client.Send(t.Context(), newSave("k")) }()
 			synctest.Wait()
 		}
-		took := map[time.Duration]int{}
+		countByDuration := map[time.Duration]int{}
 		for range cap(results) {
 			result := <-results
 			if result.Outcome == machine.SendRefused {
-				took[0]++
+				countByDuration[0]++
 			} else {
-				took[result.Took]++
+				countByDuration[result.Took]++
 			}
 		}
 		want := map[time.Duration]int{0: 1, time.Second: 2, 2 * time.Second: 2, 3 * time.Second: 2}
-		if diff := cmp.Diff(want, took); diff != "" {
+		if diff := cmp.Diff(want, countByDuration); diff != "" {
 			t.Error(diff)
 		}
 	})
