--- a/cmd/dalehook/failure_stop_test.go
+++ b/cmd/dalehook/failure_stop_test.go
@@ -107,7 +107,7 @@
 	w.t.Helper()
 	sample := o.l.makeStep(0).Samples[longEvery-1]
 	sample.Prompt, sample.Group = o.at.id+sample.Prompt, ""
-	for standin.AnswerLength(sample.Prompt, maxTokens) < maxTokens {
+	for standin.CompletionLength(sample.Prompt, maxTokens) < maxTokens {
 		sample.Prompt += "."
 	}
 	step := client.Step{Event: testEvent, Trainer: "captions", ID: "poll-" + o.at.id, Samples: []record.Sample{sample}}
@@ -117,9 +117,9 @@
 	api := o.at.apiWithin(openTimeout)
 	_, err := api.PostStep(w.ctx, step)
 	w.must(err)
-	w.ledger.Posted(step, stalenessBound)
+	w.ledger.RecordStep(step, stalenessBound)
 	o.open.Go(func() {
-		newest := w.ledger.Newest()
+		newest := w.ledger.NewestVersion()
 		page, err := api.ReadSamples(w.ctx, client.ReadRequest{Step: step.ID, MaxWait: openTimeout, Version: newest})
 		if err != nil {
 			w.fault("the long poll at %s was cut: %v", o.at.id, err)
