--- a/internal/crashwatch/tracker_test.go
+++ b/internal/crashwatch/tracker_test.go
@@ -164,8 +164,7 @@
 // is back. The next incarnation must also be recognized if another node found the end of the listed
 // one. Otherwise its end was attributed to the incarnation that had already ended under another
 // request and counted for neither, and a request that a node without the store had found was sent
-// on once more (half of the runs of TestANodeThatTheStoreTurnsAwayKnowsWhatOthersFound under the
-// race detector).
+// on once more (half of the runs of TestQuarantineIsSharedWithoutStore under the race detector).
 func TestNextIncarnationAfterEndFoundByAnotherNode(t *testing.T) {
 	cases := []struct {
 		name string
