--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -96,12 +96,12 @@
 		ListLag:      time.Second,
 		ServiceTime:  15 * time.Millisecond,
 		Capacity: settings.Capacity{
-			EngineTokens: 800,
-			StreamTokens: 160,
-			ServerSlots:  standin.DefaultConcurrency,
-			LoadTime:     300 * time.Millisecond,
-			LoadMargin:   500 * time.Millisecond,
-			WeightLoads:  30,
+			EngineTokensPerSecond: 800,
+			StreamTokensPerSecond: 160,
+			ServerSlots:           standin.DefaultConcurrency,
+			LoadTime:              300 * time.Millisecond,
+			LoadMargin:            500 * time.Millisecond,
+			WeightLoadsPerSecond:  30,
 		},
 		Workloads: []traffic.Workload{
 			{Trainer: "captions", Steps: 3, StepInterval: 3 * time.Second, SamplesPerStep: 96, MinTokens: 16, MinLongTokens: 260, MaxTokens: 300, LongSampleInterval: 24, StalenessBound: 1},
@@ -283,10 +283,10 @@
 // planAndConfirm requests the plan from one node and confirms it at another.
 func (r *run) planAndConfirm(ctx context.Context) (record.Plan, error) {
 	nodes := r.deployment.nodeClients()
-	var planned client.PlanAnswer
+	var planned client.PlanResponse
 	// The node may not have read the announcement or discovered all engines yet.
 	err := retry(ctx, "plan the event", func() (err error) {
-		planned, err = nodes[0].MakePlan(ctx, r.newEvent())
+		planned, err = nodes[0].CreatePlan(ctx, r.newEvent())
 		if err == nil && len(planned.Plan.Missing) > 0 {
 			err = eris.Errorf("the plan can't be met: %s", strings.Join(planned.Plan.Missing, "; "))
 		}
--- a/internal/demo/retry.go
+++ b/internal/demo/retry.go
@@ -31,7 +31,7 @@
 		if last == nil || ctx.Err() == nil {
 			last = err
 		}
-		if ctx.Err() != nil || client.IsFinal(err) {
+		if ctx.Err() != nil || client.IsPermanent(err) {
 			return eris.Wrap(last, operation)
 		}
 		traffic.Sleep(ctx, pollInterval)
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -180,13 +180,13 @@
 	if r.options.Unrepeatable {
 		call.Method = http.MethodPost
 		call.Body = "saved"
-		call.Key = fmt.Sprintf("load-%s-%d", r.options.RunID, number)
+		call.IdempotencyKey = fmt.Sprintf("load-%s-%d", r.options.RunID, number)
 		call.Unrepeatable = true
 	}
 	return call
 }
 
-func checkResponse(response client.CallAnswer, err error) error {
+func checkResponse(response client.CallResponse, err error) error {
 	if err == nil && response.Status != http.StatusOK {
 		return eris.Errorf("status %d: %s", response.Status, response.Body)
 	}
--- a/internal/traffic/callers.go
+++ b/internal/traffic/callers.go
@@ -126,7 +126,7 @@
 		call.Method = http.MethodPost
 		call.Path = fmt.Sprintf("/saves/%s-%d", mode, number)
 		call.Body = fmt.Sprintf(`{"line":%d,"hearing":"water board"}`, number)
-		call.Key = saveKey(mode, number)
+		call.IdempotencyKey = saveKey(mode, number)
 		call.Unrepeatable = true
 	}
 	return call
@@ -168,7 +168,7 @@
 	}
 	c.counts.Succeeded++
 	if call.Unrepeatable {
-		c.savedKeys = append(c.savedKeys, call.Key)
+		c.savedKeys = append(c.savedKeys, call.IdempotencyKey)
 	}
 	_ = c.counts.Routed.RecordValue(duration.Microseconds())
 }
@@ -193,7 +193,7 @@
 
 // verifyResponse returns a function that describes why the response is not the
 // complete response to a call, or returns "" if it is.
-func verifyResponse(response client.CallAnswer, err error) func(client.Call) string {
+func verifyResponse(response client.CallResponse, err error) func(client.Call) string {
 	return func(call client.Call) string {
 		if err != nil {
 			return err.Error()
@@ -206,7 +206,7 @@
 			return "answer is no JSON: " + err.Error()
 		}
 		digest := sha256.Sum256([]byte(call.Body))
-		if body.Path != call.Path || body.Key != call.Key || body.BodyDigest != hex.EncodeToString(digest[:]) {
+		if body.Path != call.Path || body.Key != call.IdempotencyKey || body.BodyDigest != hex.EncodeToString(digest[:]) {
 			return fmt.Sprintf("answer belongs to %s with key %q", body.Path, body.Key)
 		}
 		return ""
--- a/internal/traffic/callers_test.go
+++ b/internal/traffic/callers_test.go
@@ -18,11 +18,11 @@
 	node := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
 		path := strings.TrimPrefix(r.URL.Path, "/v1/services/bridge")
-		var response client.CallAnswer
+		var response client.CallResponse
 		for range copies(r) {
 			var err error
 			response, err = client.New(client.Options{Node: server}).CallDirect(r.Context(), client.Call{
-				Method: r.Method, Path: path, Body: string(body), Key: r.Header.Get("Idempotency-Key"),
+				Method: r.Method, Path: path, Body: string(body), IdempotencyKey: r.Header.Get("Idempotency-Key"),
 			})
 			if err != nil {
 				t.Errorf("forward: %v", err)
--- a/internal/traffic/trainer.go
+++ b/internal/traffic/trainer.go
@@ -77,7 +77,7 @@
 		if err := t.post(ctx, step); err != nil {
 			return err
 		}
-		if err := t.readAll(ctx, step.Step); err != nil {
+		if err := t.readAll(ctx, step.ID); err != nil {
 			return err
 		}
 	}
@@ -90,10 +90,10 @@
 	step := client.Step{
 		Event:   t.event,
 		Trainer: t.workload.Trainer,
-		Step:    fmt.Sprintf("%s-%d", t.workload.Trainer, number),
+		ID:      fmt.Sprintf("%s-%d", t.workload.Trainer, number),
 	}
 	for i := range t.workload.SamplesPerStep {
-		group := fmt.Sprintf("%s-%d", step.Step, i/samplesPerGroup)
+		group := fmt.Sprintf("%s-%d", step.ID, i/samplesPerGroup)
 		tokens := t.workload.MinTokens
 		if i%t.workload.LongSampleInterval == t.workload.LongSampleInterval-1 {
 			tokens = t.workload.MinLongTokens
@@ -122,7 +122,7 @@
 
 // post posts a step until a node accepts it. Posting a step is idempotent.
 func (t *Trainer) post(ctx context.Context, step client.Step) error {
-	return t.retry(ctx, "post", step.Step, func(node *client.Client) error {
+	return t.retry(ctx, "post", step.ID, func(node *client.Client) error {
 		if _, err := node.PostStep(ctx, step); err != nil {
 			return err
 		}
@@ -149,17 +149,17 @@
 
 // readPage reads one page and records its samples, unless the response is
 // discarded.
-func (t *Trainer) readPage(ctx context.Context, step, cursor string) (client.Page, error) {
-	var page client.Page
+func (t *Trainer) readPage(ctx context.Context, step, cursor string) (client.SamplesPage, error) {
+	var page client.SamplesPage
 	err := t.retry(ctx, "read", step, func(node *client.Client) error {
 		newest := t.ledger.NewestVersion()
-		response, err := node.ReadSamples(ctx, client.Read{Step: step, After: cursor, Wait: readWait, Version: newest})
+		response, err := node.ReadSamples(ctx, client.ReadRequest{Step: step, Cursor: cursor, MaxWait: readWait, Version: newest})
 		if err != nil {
 			return err
 		}
 		t.readCount++
 		if t.readCount%droppedReadInterval == 0 {
-			page = client.Page{Cursor: cursor}
+			page = client.SamplesPage{Cursor: cursor}
 			return nil
 		}
 		t.ledger.RecordReceived(step, newest, response.Samples)
@@ -177,7 +177,7 @@
 		if err == nil {
 			return nil
 		}
-		if ctx.Err() != nil || client.IsFinal(err) {
+		if ctx.Err() != nil || client.IsPermanent(err) {
 			return eris.Wrapf(err, "%s step %s", operation, step)
 		}
 		t.nodeIndex++
