--- a/internal/traffic/ledger.go
+++ b/internal/traffic/ledger.go
@@ -75,8 +75,8 @@
 		counts.samples[sample.ID] = sample
 		counts.received[sample.ID] = 0
 	}
-	l.steps[step.Step] = counts
-	l.stepNames = append(l.stepNames, step.Step)
+	l.steps[step.ID] = counts
+	l.stepNames = append(l.stepNames, step.ID)
 }
 
 // RecordReceived records samples that the trainer received. newest is the newest
--- a/internal/traffic/ledger_test.go
+++ b/internal/traffic/ledger_test.go
@@ -93,7 +93,7 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			ledger := NewLedger()
-			ledger.RecordStep(client.Step{Step: "s", Samples: samples}, 1)
+			ledger.RecordStep(client.Step{ID: "s", Samples: samples}, 1)
 			ledger.RecordAnnouncement(3)
 			ledger.RecordReceived("s", ledger.NewestVersion(), test.change(valid()))
 			if diff := cmp.Diff(test.want, ledger.Counts()); diff != "" {
