--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -79,13 +79,13 @@
 // Options configure a Coordinator.
 type Options struct {
 	Engines Engines
-	// Quarantine tracks the items that crash engines; nil disables tracking.
-	Quarantine *crashwatch.Tracker
-	Rewards    Rewards
-	Log        store.Log
-	Jobs       *joblog.Logs
-	Directory  *directory.Directory
-	Scheduler  scheduler.Options
+	// CrashTracker tracks the items that crash engines; nil disables tracking.
+	CrashTracker *crashwatch.Tracker
+	Rewards      Rewards
+	Log          store.Log
+	Jobs         *joblog.Logs
+	Directory    *directory.Directory
+	Scheduler    scheduler.Options
 	// OrderPause is the time after a takeover in which no order is sent, so that
 	// the orders of two lease holders are at least that far apart.
 	OrderPause time.Duration
@@ -139,8 +139,8 @@
 
 // New returns a coordinator that does not hold the lease.
 func New(options Options) *Coordinator {
-	if options.Quarantine == nil {
-		options.Quarantine = crashwatch.NewTracker(crashwatch.Options{})
+	if options.CrashTracker == nil {
+		options.CrashTracker = crashwatch.NewTracker(crashwatch.Options{})
 	}
 	return &Coordinator{
 		options:        options,
@@ -235,41 +235,42 @@
 	}
 }
 
-// Demand returns the number of open items by service, or nil while this node is not the coordinator.
-func (c *Coordinator) Demand() map[string]int {
+// UnfinishedItems returns the number of items without a complete text, by service, or nil while this node is not the coordinator.
+func (c *Coordinator) UnfinishedItems() map[string]int {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.machine == nil {
 		return nil
 	}
-	return c.machine.Demand()
+	return c.machine.UnfinishedItems()
 }
 
-// ObserveTable applies a new configuration.
-func (c *Coordinator) ObserveTable(table *routetable.Table) {
+// HandleTable applies a new configuration.
+func (c *Coordinator) HandleTable(table *routetable.Table) {
 	c.mutex.Lock()
 	c.table = table
 	c.mutex.Unlock()
 	c.withScheduler(func(now time.Time, machine *scheduler.Machine) { machine.HandleTable(now, table) })
 }
 
-// ObserveQuarantine passes changed suspicions against requests and items to the scheduler.
-func (c *Coordinator) ObserveQuarantine() {
+// HandleSuspicions passes the crash tracker's current suspicions against requests and items to the
+// scheduler.
+func (c *Coordinator) HandleSuspicions() {
 	c.withScheduler(func(now time.Time, machine *scheduler.Machine) {
-		machine.HandleSuspicions(now, c.options.Quarantine.Suspicions())
+		machine.HandleSuspicions(now, c.options.CrashTracker.Suspicions())
 	})
 }
 
-// ObserveVersion records the newest weight version of a model.
-func (c *Coordinator) ObserveVersion(model string, version int64) {
+// HandleVersion records the newest weight version of a model.
+func (c *Coordinator) HandleVersion(model string, version int64) {
 	c.mutex.Lock()
 	c.newestVersions[model] = max(c.newestVersions[model], version)
 	c.mutex.Unlock()
 	c.withScheduler(func(now time.Time, machine *scheduler.Machine) { machine.HandleVersion(now, model, version) })
 }
 
-// ObserveServers passes a changed list of servers to the scheduler.
-func (c *Coordinator) ObserveServers() {
+// HandleServers passes a changed list of servers to the scheduler.
+func (c *Coordinator) HandleServers() {
 	c.withScheduler(c.handleServers)
 }
 
@@ -285,8 +286,8 @@
 	machine.HandleServers(now, servers)
 }
 
-// ObserveLease applies this node's standing in the election.
-func (c *Coordinator) ObserveLease(state election.State) {
+// HandleLease applies this node's state in the election.
+func (c *Coordinator) HandleLease(state election.State) {
 	c.setLease(state)
 	c.withScheduler(func(now time.Time, machine *scheduler.Machine) {
 		settled := state.Lease.SettledAt(c.options.OrderPause, c.options.Fenced)
--- a/internal/coordinator/handover_test.go
+++ b/internal/coordinator/handover_test.go
@@ -83,14 +83,14 @@
 	t.Cleanup(func() { cancel(); <-ended; <-reading })
 	route := routetable.Route{Name: "r", Host: "h", Prefix: "/p/", Kind: routetable.KindBatch, MaxAttempts: 3, Resumable: true,
 		Targets: []routetable.Target{{Service: "pool", Weight: 1}}, ItemLifetime: time.Minute}
-	c.ObserveTable(routetable.NewTable(1, []routetable.Route{route}, []routetable.Service{{Name: "pool", Models: []string{"m"}}}, routetable.Limits{}))
+	c.HandleTable(routetable.NewTable(1, []routetable.Route{route}, []routetable.Service{{Name: "pool", Models: []string{"m"}}}, routetable.Limits{}))
 	return c, jobs
 }
 
 // grantLease gives a coordinator the lease with an epoch.
 func grantLease(c *Coordinator, epoch int64) {
 	now := time.Now()
-	c.ObserveLease(election.State{Leading: true, Held: true, Lease: election.Lease{Epoch: epoch, ClaimedAt: now, ExpiresAt: now.Add(time.Minute)}})
+	c.HandleLease(election.State{Leading: true, Held: true, Lease: election.Lease{Epoch: epoch, ClaimedAt: now, ExpiresAt: now.Add(time.Minute)}})
 }
 
 // startLeading returns a coordinator that runs the items of a job under epoch 1, each of which has
@@ -142,7 +142,7 @@
 func TestTermThatEndsBeforeYieldIsHandedOver(t *testing.T) {
 	const items = 3
 	c := startLeading(t, items)
-	c.ObserveLease(election.State{Lease: election.Lease{Epoch: 1}})
+	c.HandleLease(election.State{Lease: election.Lease{Epoch: 1}})
 	c.Yield(1)
 	if handover := c.HandOver(1); countProgressRecords(handover) != items || !handover.Whole {
 		t.Errorf("%d of %d progress records, whole %v", countProgressRecords(handover), items, handover.Whole)
--- a/internal/coordinator/output.go
+++ b/internal/coordinator/output.go
@@ -83,7 +83,7 @@
 	c.options.Logger.Info("item attempt ended", zap.String("job", start.JobID), zap.String("item", start.Item.ID),
 		zap.String("group", start.Item.Group), zap.Int("events", events),
 		zap.Uint64("attempt", uint64(start.Attempt)), zap.String("server", start.Server.ID), zap.String("after", start.After),
-		zap.Int64("epoch", start.Inputs.Term), zap.Int64("version", start.Inputs.Version),
+		zap.Int64("epoch", start.Inputs.Epoch), zap.Int64("version", start.Inputs.Version),
 		zap.Int("running", start.Inputs.Attempts), zap.Duration("gap", start.Inputs.Gap),
 		zap.Duration("read_age", start.Inputs.ReadAge), zap.Duration("took", clock.Since(began)),
 		zap.Stringer("reason", reason), zap.Error(err))
@@ -95,9 +95,9 @@
 	})
 }
 
-// recordRunEnd reports the end of a run to the quarantine, before the item is queued for its next run.
+// recordRunEnd reports the end of a run to the crash tracker, before the item is queued for its next run.
 func (c *Coordinator) recordRunEnd(start scheduler.Start, began time.Time, reason scheduler.EndReason, progressed bool) {
-	tracker := c.options.Quarantine
+	tracker := c.options.CrashTracker
 	fingerprint := scheduler.Fingerprint(start.Tenant, start.Host, start.Item)
 	switch reason {
 	case scheduler.EndBroken:
--- a/internal/coordinator/successor_build_test.go
+++ b/internal/coordinator/successor_build_test.go
@@ -42,12 +42,12 @@
 			<-engines.emitted
 		}
 		c.Resign()
-		c.ObserveLease(election.State{})
+		c.HandleLease(election.State{})
 		time.Sleep(100 * time.Millisecond)
 		claimed := time.Now()
 		for range 5 {
 			// Each read of the lease reports the standing again.
-			c.ObserveLease(election.State{Coordinator: "successor"})
+			c.HandleLease(election.State{Coordinator: "successor"})
 			time.Sleep(50 * time.Millisecond)
 		}
 		for range items {
--- a/internal/coordinator/takeover_test.go
+++ b/internal/coordinator/takeover_test.go
@@ -106,7 +106,7 @@
 	id := jobIDInPartition(jobs, 1)
 	appendJob(t, jobs, id, 1)
 	now := time.Now()
-	c.ObserveLease(election.State{Leading: true, Held: true, Lease: election.Lease{
+	c.HandleLease(election.State{Leading: true, Held: true, Lease: election.Lease{
 		Epoch: 2, ClaimedAt: now, ExpiresAt: now.Add(time.Minute), HasPredecessor: true, Yielded: election.YieldedLease{Address: address, Epoch: 1},
 	}})
 	awaitItem(t, engines, id+"a")
--- a/internal/coordinator/term.go
+++ b/internal/coordinator/term.go
@@ -45,7 +45,7 @@
 		return
 	}
 	options := c.options.Scheduler
-	options.Term = state.Lease.Epoch
+	options.Epoch = state.Lease.Epoch
 	c.machine = scheduler.NewMachine(options)
 	c.termEpoch = state.Lease.Epoch
 	c.attemptCancels = make(map[scheduler.AttemptID]context.CancelFunc)
@@ -59,7 +59,7 @@
 	for model, version := range c.newestVersions {
 		c.machine.HandleVersion(now, model, version)
 	}
-	c.machine.HandleSuspicions(now, c.options.Quarantine.Suspicions())
+	c.machine.HandleSuspicions(now, c.options.CrashTracker.Suspicions())
 	c.handleServers(now, c.machine)
 	c.options.Logger.Info("term begun", zap.Int64("epoch", c.termEpoch))
 	termCtx, machine, lease := c.termCtx, c.machine, state.Lease
--- a/internal/crashwatch/share.go
+++ b/internal/crashwatch/share.go
@@ -16,10 +16,10 @@
 	"dalehook/internal/store"
 )
 
-// Relay reads and writes the topic through other nodes.
-type Relay struct {
+// StoreProxy reads and writes the topic through other nodes.
+type StoreProxy struct {
 	// Read reads from an offset; below 0 it reads the newest records. It may be nil.
-	Read func(ctx context.Context, from int64) (follow.Relay, error)
+	Read func(ctx context.Context, from int64) (follow.RelayedRecords, error)
 	// Put adds records. It may be nil.
 	Put func(ctx context.Context, records []store.Record) error
 }
@@ -48,7 +48,7 @@
 func (t *Tracker) follow(ctx context.Context) {
 	follow.Keyed(ctx, follow.KeyedOptions{
 		Log: t.options.Log, Topic: store.TopicQuarantine, MinInterval: minReadInterval, Wait: longPollWait, LargeTopic: true, Logger: t.options.Logger,
-		Replace: t.replaceAll, Change: t.applyChanges, OnRead: func(int64, bool, time.Time) {}, ReadRelayed: t.options.Relay.Read,
+		Replace: t.replaceAll, Change: t.applyChanges, OnRead: func(int64, bool, time.Time) {}, ReadRelayed: t.options.StoreProxy.Read,
 	})
 }
 
@@ -182,12 +182,12 @@
 	call, cancel := context.WithTimeout(ctx, putTimeout)
 	defer cancel()
 	err := t.options.Log.PutKeyed(call, store.TopicQuarantine, records)
-	if err == nil || t.options.Relay.Put == nil {
+	if err == nil || t.options.StoreProxy.Put == nil {
 		return err
 	}
 	relayed, cancelRelayed := context.WithTimeout(ctx, relayedPutTimeout)
 	defer cancelRelayed()
-	if relayErr := t.options.Relay.Put(relayed, records); relayErr != nil {
+	if relayErr := t.options.StoreProxy.Put(relayed, records); relayErr != nil {
 		return errors.Join(err, relayErr)
 	}
 	return nil
--- a/internal/crashwatch/tracker.go
+++ b/internal/crashwatch/tracker.go
@@ -28,8 +28,8 @@
 	Directory *directory.Directory
 	Probe     Probe
 	Logger    *zap.Logger
-	// Relay reads and writes through other nodes while the store refuses this one.
-	Relay Relay
+	// StoreProxy reads and writes through other nodes while the store refuses this one.
+	StoreProxy StoreProxy
 	// OnChange is called when a suspicion has changed; it may be nil.
 	OnChange func()
 	// IsCleaner reports whether this node removes expired records from the store; a single node
--- a/internal/fanout/builds_test.go
+++ b/internal/fanout/builds_test.go
@@ -20,10 +20,10 @@
 	if answer, err := Fetch(ctx, CallNode, nodecalltest.Serve(t), question); err == nil {
 		t.Errorf("%+v", answer)
 	}
-	source := NewSource()
-	source.Update([]store.Record{record(1, "a", "1")}, true, 2)
-	source.MarkUpToDate(clock.Now())
-	address := nodecalltest.Serve(t, func(server *rpc.Server) error { return Register(server, source) })
+	cache := NewCache()
+	cache.Update([]store.Record{record(1, "a", "1")}, true, 2)
+	cache.MarkUpToDate(clock.Now())
+	address := nodecalltest.Serve(t, func(server *rpc.Server) error { return Register(server, cache) })
 	if answer, err := Fetch(ctx, CallNode, address, question); err != nil || !answer.Whole || answer.Next != 2 || len(answer.Records) != 1 {
 		t.Errorf("%+v, %v", answer, err)
 	}
--- a/internal/fanout/source.go
+++ b/internal/fanout/cache.go
@@ -50,8 +50,8 @@
 	Elsewhere string
 }
 
-// Source holds a node's knowledge of the topic and serves it to others. It is safe for concurrent use.
-type Source struct {
+// Cache holds a node's knowledge of the topic and serves it to others. It is safe for concurrent use.
+type Cache struct {
 	mutex sync.Mutex
 	// records holds the newest record of each key, including tombstones after base.
 	records map[string]store.Record
@@ -69,46 +69,46 @@
 	recipientsNext int64
 }
 
-// NewSource returns an empty source.
-func NewSource() *Source { return &Source{next: -1, base: -1, advanced: make(chan struct{})} }
+// NewCache returns an empty cache.
+func NewCache() *Cache { return &Cache{next: -1, base: -1, advanced: make(chan struct{})} }
 
-// Update adds records up to an offset: those since the known end, or, if whole is set, the newest of each
-// key.
-func (s *Source) Update(records []store.Record, whole bool, next int64) {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	if whole {
-		s.records = make(map[string]store.Record, len(records))
-		s.base, s.large = next, 0
+// Update adds records up to an offset: those since the known end, or, if snapshot is set, the newest of
+// each key.
+func (c *Cache) Update(records []store.Record, snapshot bool, next int64) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	if snapshot {
+		c.records = make(map[string]store.Record, len(records))
+		c.base, c.large = next, 0
 	}
-	if s.records == nil {
+	if c.records == nil {
 		return // the preceding records are unknown
 	}
 	for _, record := range records {
-		s.records[record.Key] = record
+		c.records[record.Key] = record
 		if len(record.Value) >= LargeBytes {
-			s.large = max(s.large, record.Offset+1)
+			c.large = max(c.large, record.Offset+1)
 		}
 	}
-	if next == s.next {
+	if next == c.next {
 		return
 	}
-	s.next = next
-	close(s.advanced)
-	s.advanced = make(chan struct{})
+	c.next = next
+	close(c.advanced)
+	c.advanced = make(chan struct{})
 }
 
 // MarkUpToDate records that the held state was the newest when the store was asked.
-func (s *Source) MarkUpToDate(at time.Time) {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	if at.After(s.askedAt) {
-		s.askedAt = at
+func (c *Cache) MarkUpToDate(at time.Time) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	if at.After(c.askedAt) {
+		c.askedAt = at
 	}
 }
 
-// SourceState describes how far a source knows the topic.
-type SourceState struct {
+// CacheState describes how far a cache knows the topic.
+type CacheState struct {
 	// Next is the offset after what is known, Large the offset after the last large record.
 	Next, Large int64
 	// AskedAt is when the store was asked, by package clock.
@@ -116,21 +116,21 @@
 }
 
 // State returns how far the topic is known; ok is false if nothing is known.
-func (s *Source) State() (state SourceState, ok bool) {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	return SourceState{Next: s.next, Large: s.large, AskedAt: s.askedAt}, s.records != nil && !s.askedAt.IsZero()
+func (c *Cache) State() (state CacheState, ok bool) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	return CacheState{Next: c.next, Large: c.large, AskedAt: c.askedAt}, c.records != nil && !c.askedAt.IsZero()
 }
 
 // Serve answers another node. It waits up to serveTimeout for records that have not arrived yet.
-func (s *Source) Serve(ctx context.Context, question Question) Answer {
-	if elsewhere := s.redirect(question); elsewhere != "" {
+func (c *Cache) Serve(ctx context.Context, question Question) Answer {
+	if elsewhere := c.redirect(question); elsewhere != "" {
 		return Answer{Elsewhere: elsewhere}
 	}
 	ctx, cancel := context.WithTimeout(ctx, serveTimeout)
 	defer cancel()
 	for {
-		answer, advanced := s.answer(question)
+		answer, advanced := c.answer(question)
 		if advanced == nil {
 			return answer
 		}
@@ -144,37 +144,37 @@
 
 // redirect returns the node to which an asker is redirected, or an empty string if this node serves it. An
 // asker is always redirected to the same node, so that no two nodes wait for each other.
-func (s *Source) redirect(question Question) (elsewhere string) {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	if question.Next > s.recipientsNext {
-		s.recipients, s.recipientsNext = nil, question.Next
+func (c *Cache) redirect(question Question) (elsewhere string) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	if question.Next > c.recipientsNext {
+		c.recipients, c.recipientsNext = nil, question.Next
 	}
-	s.recipients = slices.DeleteFunc(s.recipients, func(node string) bool { return node == question.Gone })
-	if slices.Contains(s.recipients, question.Asker) {
+	c.recipients = slices.DeleteFunc(c.recipients, func(node string) bool { return node == question.Gone })
+	if slices.Contains(c.recipients, question.Asker) {
 		return ""
 	}
-	if len(s.recipients) < fanOutDegree {
-		s.recipients = append(s.recipients, question.Asker)
+	if len(c.recipients) < fanOutDegree {
+		c.recipients = append(c.recipients, question.Asker)
 		return ""
 	}
-	return slices.MaxFunc(s.recipients, func(a, b string) int {
+	return slices.MaxFunc(c.recipients, func(a, b string) int {
 		return cmp.Compare(placement.Score(a, question.Asker), placement.Score(b, question.Asker))
 	})
 }
 
 // answer returns what is known, and a channel that is closed once more is known if that does not suffice.
-func (s *Source) answer(question Question) (Answer, <-chan struct{}) {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	if s.records == nil {
-		return Answer{Next: -1}, s.advanced
+func (c *Cache) answer(question Question) (Answer, <-chan struct{}) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	if c.records == nil {
+		return Answer{Next: -1}, c.advanced
 	}
-	if s.next < question.Next {
-		return Answer{Next: s.next, Age: clock.Since(s.askedAt)}, s.advanced
+	if c.next < question.Next {
+		return Answer{Next: c.next, Age: clock.Since(c.askedAt)}, c.advanced
 	}
-	answer := Answer{Next: s.next, Age: clock.Since(s.askedAt), Whole: question.From < s.base}
-	for _, record := range s.records {
+	answer := Answer{Next: c.next, Age: clock.Since(c.askedAt), Whole: question.From < c.base}
+	for _, record := range c.records {
 		if answer.Whole && len(record.Value) == 0 || !answer.Whole && record.Offset < question.From {
 			continue
 		}
--- a/internal/fanout/source_test.go
+++ b/internal/fanout/cache_test.go
@@ -29,8 +29,8 @@
 }
 
 // A node serves what the asker lacks: the changes since, or the whole state.
-func TestSourceServesWhatAskerLacks(t *testing.T) {
-	s := NewSource()
+func TestCacheServesWhatAskerLacks(t *testing.T) {
+	s := NewCache()
 	s.Update([]store.Record{record(3, "a", "1"), record(4, "b", "2")}, true, 5)
 	s.Update([]store.Record{record(5, "a", "3")}, false, 6)
 	s.Update([]store.Record{record(6, "b", "")}, false, 7)
@@ -58,9 +58,9 @@
 }
 
 // A node that is asked for a change just before it has it waits; one that never gets it says so.
-func TestSourceWaitsForPendingChange(t *testing.T) {
+func TestCacheWaitsForPendingChange(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := NewSource()
+		s := NewCache()
 		s.Update(nil, true, 1)
 		go func() {
 			time.Sleep(serveTimeout / 2)
@@ -78,7 +78,7 @@
 // An answer has the age of the node's own knowledge, whoever passed it on.
 func TestAnswerHasAgeOfKnowledge(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := NewSource()
+		s := NewCache()
 		s.Update(nil, true, 1)
 		s.MarkUpToDate(clock.Now())
 		time.Sleep(3 * time.Second)
@@ -92,10 +92,10 @@
 
 // fleet is a set of nodes that fetch a change from each other.
 type fleet struct {
-	mutex   sync.Mutex
-	sources []*Source
-	calls   []int
-	gone    map[int]bool
+	mutex  sync.Mutex
+	caches []*Cache
+	calls  []int
+	gone   map[int]bool
 }
 
 var errGone = errors.New("gone")
@@ -112,7 +112,7 @@
 	if gone {
 		return Answer{}, errGone
 	}
-	return f.sources[number].Serve(ctx, question), nil
+	return f.caches[number].Serve(ctx, question), nil
 }
 
 // A change reaches all nodes although each node serves it to only a few.
@@ -123,11 +123,11 @@
 				f := &fleet{calls: make([]int, nodes), gone: make(map[int]bool)}
 				served := make([]int, nodes)
 				for range nodes {
-					s := NewSource()
+					s := NewCache()
 					s.Update(nil, true, 1)
-					f.sources = append(f.sources, s)
+					f.caches = append(f.caches, s)
 				}
-				f.sources[0].Update([]store.Record{record(1, "a", "large")}, false, 2)
+				f.caches[0].Update([]store.Record{record(1, "a", "large")}, false, 2)
 				var askers sync.WaitGroup
 				for number := 1; number < nodes; number++ {
 					askers.Go(func() {
@@ -136,11 +136,11 @@
 							t.Errorf("node %d: %v", number, err)
 							return
 						}
-						f.sources[number].Update(answer.Records, answer.Whole, answer.Next)
+						f.caches[number].Update(answer.Records, answer.Whole, answer.Next)
 					})
 				}
 				askers.Wait()
-				for number, s := range f.sources {
+				for number, s := range f.caches {
 					served[number] = len(s.recipients)
 					if s.next != 2 || served[number] > fanOutDegree {
 						t.Errorf("node %d knows up to %d and served %d nodes", number, s.next, served[number])
@@ -157,9 +157,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := &fleet{calls: make([]int, 3), gone: map[int]bool{0: true}}
 		for range 3 {
-			f.sources = append(f.sources, NewSource())
+			f.caches = append(f.caches, NewCache())
 		}
-		stale, fresh := f.sources[1], f.sources[2]
+		stale, fresh := f.caches[1], f.caches[2]
 		stale.Update([]store.Record{record(1, "a", "1")}, true, 2)
 		stale.MarkUpToDate(clock.Now())
 		time.Sleep(time.Minute)
@@ -187,19 +187,19 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := &fleet{calls: make([]int, 100), gone: map[int]bool{1: true, 2: true, 3: true}}
 		for range 100 {
-			f.sources = append(f.sources, NewSource())
+			f.caches = append(f.caches, NewCache())
 		}
-		f.sources[0].Update([]store.Record{record(1, "a", "large")}, true, 2)
+		f.caches[0].Update([]store.Record{record(1, "a", "large")}, true, 2)
 		for number := 1; number <= fanOutDegree; number++ {
-			answer := f.sources[0].Serve(t.Context(), Question{From: -1, Next: 2, Asker: strconv.Itoa(number)})
-			f.sources[number].Update(answer.Records, answer.Whole, answer.Next)
+			answer := f.caches[0].Serve(t.Context(), Question{From: -1, Next: 2, Asker: strconv.Itoa(number)})
+			f.caches[number].Update(answer.Records, answer.Whole, answer.Next)
 		}
 		for number := fanOutDegree + 1; number < 100; number++ {
 			answer, err := Fetch(t.Context(), f.call, "0", Question{From: -1, Next: 2, Asker: strconv.Itoa(number)})
 			if err != nil || len(answer.Records) != 1 {
 				t.Errorf("node %d: %+v, %v", number, answer, err)
 			}
-			f.sources[number].Update(answer.Records, answer.Whole, answer.Next)
+			f.caches[number].Update(answer.Records, answer.Whole, answer.Next)
 		}
 	})
 }
@@ -210,26 +210,26 @@
 		const nodes = 400
 		f := &fleet{calls: make([]int, nodes), gone: make(map[int]bool)}
 		for range nodes {
-			s := NewSource()
+			s := NewCache()
 			s.Update(nil, true, 1)
-			f.sources = append(f.sources, s)
+			f.caches = append(f.caches, s)
 		}
 		var polling sync.WaitGroup
 		for number := 1; number < nodes; number++ {
 			polling.Go(func() {
-				for round := 0; f.sources[number].nextOffset() < 2; round++ {
+				for round := 0; f.caches[number].nextOffset() < 2; round++ {
 					time.Sleep(time.Duration(number*7+round*13) % 400 * time.Millisecond)
-					f.sources[0].MarkUpToDate(clock.Now())
+					f.caches[0].MarkUpToDate(clock.Now())
 					answer, err := Poll(t.Context(), f.call, []string{"0"}, 1, strconv.Itoa(number))
 					if err == nil {
-						f.sources[number].Update(answer.Records, answer.Whole, answer.Next)
+						f.caches[number].Update(answer.Records, answer.Whole, answer.Next)
 					}
 				}
 			})
 		}
 		time.Sleep(10 * time.Second)
 		put := time.Now()
-		f.sources[0].Update([]store.Record{record(1, "a", "large")}, false, 2)
+		f.caches[0].Update([]store.Record{record(1, "a", "large")}, false, 2)
 		polling.Wait()
 		if took := time.Since(put); took > 2*time.Second {
 			t.Errorf("known to all after %v", took)
@@ -237,7 +237,7 @@
 	})
 }
 
-func (s *Source) nextOffset() int64 {
+func (s *Cache) nextOffset() int64 {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.next
--- a/internal/fanout/fetch.go
+++ b/internal/fanout/fetch.go
@@ -24,16 +24,16 @@
 	methodTake  = serviceName + ".Take"
 )
 
-type service struct{ source *Source }
+type service struct{ cache *Cache }
 
-// Register makes a server serve the contents of a source to other nodes.
-func Register(server *rpc.Server, source *Source) error {
-	return eris.Wrap(server.RegisterName(serviceName, &service{source: source}), "register the fan-out service")
+// Register makes a server serve the contents of a cache to other nodes.
+func Register(server *rpc.Server, cache *Cache) error {
+	return eris.Wrap(server.RegisterName(serviceName, &service{cache: cache}), "register the fan-out service")
 }
 
 // Take answers another node.
 func (s *service) Take(question Question, answer *Answer) error {
-	*answer = s.source.Serve(context.Background(), question)
+	*answer = s.cache.Serve(context.Background(), question)
 	return nil
 }
 
--- a/internal/fanout/guide.go
+++ b/internal/fanout/guide.go
@@ -159,12 +159,12 @@
 	return *g.observation.Announcement
 }
 
-// Await implements follow.Guide.
+// Await implements follow.SourceSelector.
 func (g *Guide) Await(ctx context.Context, from int64) follow.Source {
 	for {
-		way, wait, changed := g.decide(clock.Now(), from)
+		source, wait, changed := g.decide(clock.Now(), from)
 		if wait <= 0 {
-			return way
+			return source
 		}
 		timer := time.NewTimer(wait)
 		select {
@@ -178,12 +178,12 @@
 	}
 }
 
-// decide returns the way to read, or how long there is nothing to read unless the observation changes.
-func (g *Guide) decide(now time.Time, from int64) (way follow.Source, wait time.Duration, changed <-chan struct{}) {
+// decide returns the source to read from, or how long there is nothing to read unless the observation changes.
+func (g *Guide) decide(now time.Time, from int64) (source follow.Source, wait time.Duration, changed <-chan struct{}) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	way, wait = g.decideLocked(now, from)
-	return way, wait, g.changed
+	source, wait = g.decideLocked(now, from)
+	return source, wait, g.changed
 }
 
 func (g *Guide) decideLocked(now time.Time, from int64) (follow.Source, time.Duration) {
@@ -252,16 +252,16 @@
 	return time.Duration(g.options.Share * float64(interval))
 }
 
-// Note implements follow.Guide.
-func (g *Guide) Note(way follow.Source, err error) {
+// Note implements follow.SourceSelector.
+func (g *Guide) Note(source follow.Source, err error) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	now := clock.Now()
 	switch {
-	case way == follow.SourcePeers && err != nil:
+	case source == follow.SourcePeers && err != nil:
 		g.fetchAttempts++
 		g.fetchAttemptAt = now
-	case way == follow.SourcePeers:
+	case source == follow.SourcePeers:
 	case err == nil:
 		g.readsAlone, g.aloneFailedAt = g.observation.ReadableSince.IsZero(), time.Time{}
 	default:
--- a/internal/fanout/guide_test.go
+++ b/internal/fanout/guide_test.go
@@ -24,7 +24,7 @@
 		observation Observation
 		from        int64
 		share       float64
-		way         follow.Source
+		source      follow.Source
 		waits       bool
 	}{
 		{"no announcement", Observation{ReadAt: now, ReadableSince: ago(time.Hour)}, 5, 0, follow.SourceStore, false},
@@ -48,9 +48,9 @@
 		t.Run(c.name, func(t *testing.T) {
 			g := NewGuide(GuideOptions{Share: c.share})
 			g.Observe(c.observation)
-			way, wait, _ := g.decide(now, c.from)
-			if c.waits != (wait > 0) || !c.waits && way != c.way {
-				t.Errorf("way %d after %v", way, wait)
+			source, wait, _ := g.decide(now, c.from)
+			if c.waits != (wait > 0) || !c.waits && source != c.source {
+				t.Errorf("source %d after %v", source, wait)
 			}
 		})
 	}
@@ -88,14 +88,14 @@
 	for try := range maxFetchAttempts {
 		// A small change that arrives meanwhile must not restart the attempts.
 		g.Observe(Observation{Announcement: &Announcement{Next: 6 + int64(try), Large: 6, ReceivedAt: now, AskedAt: now, From: "a"}, ReadAt: now, ReadableSince: now})
-		if way, _, _ := g.decide(clock.Now(), 5); way != follow.SourcePeers {
-			t.Errorf("way %d", way)
+		if source, _, _ := g.decide(clock.Now(), 5); source != follow.SourcePeers {
+			t.Errorf("source %d", source)
 		}
 		g.Note(follow.SourcePeers, errors.New("not served"))
 	}
-	way, wait, _ := g.decide(clock.Now(), 5)
-	if way != follow.SourceStoreNoWait || wait <= 0 || wait > fallbackJitter/2 {
-		t.Errorf("way %d after %v", way, wait)
+	source, wait, _ := g.decide(clock.Now(), 5)
+	if source != follow.SourceStoreNoWait || wait <= 0 || wait > fallbackJitter/2 {
+		t.Errorf("source %d after %v", source, wait)
 	}
 }
 
@@ -106,15 +106,15 @@
 	g := NewGuide(GuideOptions{})
 	g.Observe(unreadable)
 	g.Note(follow.SourceStoreProbe, errors.New("refused"))
-	if way, _, _ := g.decide(clock.Now(), 5); way != follow.SourceRelay {
-		t.Errorf("after a failure: way %d", way)
+	if source, _, _ := g.decide(clock.Now(), 5); source != follow.SourceRelay {
+		t.Errorf("after a failure: source %d", source)
 	}
-	if way, _, _ := g.decide(clock.Now().Add(aloneRetryDelay), 5); way != follow.SourceStoreProbe {
-		t.Errorf("long after a failure: way %d", way)
+	if source, _, _ := g.decide(clock.Now().Add(aloneRetryDelay), 5); source != follow.SourceStoreProbe {
+		t.Errorf("long after a failure: source %d", source)
 	}
 	g.Note(follow.SourceStoreProbe, nil)
-	if way, _, _ := g.decide(clock.Now(), 5); way != follow.SourceStore {
-		t.Errorf("after an answer: way %d", way)
+	if source, _, _ := g.decide(clock.Now(), 5); source != follow.SourceStore {
+		t.Errorf("after an answer: source %d", source)
 	}
 }
 
--- a/internal/follow/keyed.go
+++ b/internal/follow/keyed.go
@@ -50,29 +50,29 @@
 	Change func([]store.Record)
 	// OnApplied is called for all applied records from any source, with the records, whether they replace the
 	// previous state, and the offset that follows. It may be nil.
-	OnApplied func(records []store.Record, whole bool, next int64)
+	OnApplied func(records []store.Record, snapshot bool, next int64)
 	// OnRead is called for each answered read, even if nothing had changed, with the offset
 	// that follows the records, whether that was the end, and the time of the request. The
 	// answer shows the state at that time, since it may have been held or delayed.
 	OnRead func(next int64, end bool, requestedAt time.Time)
 	// ReadRelayed reads the topic from an offset through another node, for use when this node can not
 	// read the store; an offset below 0 requests the newest records. It may be nil.
-	ReadRelayed func(ctx context.Context, from int64) (Relay, error)
+	ReadRelayed func(ctx context.Context, from int64) (RelayedRecords, error)
 	// Selector selects where to read next; nil always selects the store.
 	Selector SourceSelector
 	// Fetch gets a change from other nodes that already have it. It is required if Selector is set.
-	Fetch func(ctx context.Context, from int64) (Relay, error)
+	Fetch func(ctx context.Context, from int64) (RelayedRecords, error)
 	// From is the first offset to read if FromKnown is set, all earlier records being known.
 	// Without FromKnown the newest records are read first.
 	From      int64
 	FromKnown bool
 }
 
-// Relay holds the records of a keyed topic that another node has read.
-type Relay struct {
+// RelayedRecords holds the records of a keyed topic that another node has read.
+type RelayedRecords struct {
 	Records []store.Record
-	// Whole is true if the records are the newest of every key, not those after an offset.
-	Whole bool
+	// Snapshot is true if the records are the newest of every key, not those after an offset.
+	Snapshot bool
 	// Next is the offset after the records.
 	Next int64
 }
@@ -209,18 +209,18 @@
 }
 
 // apply applies the records of another node unless this node has already read further.
-func (r *keyedReader) apply(relay Relay) {
+func (r *keyedReader) apply(relay RelayedRecords) {
 	if relay.Next < r.maxEnd {
 		return
 	}
 	switch {
-	case relay.Whole:
+	case relay.Snapshot:
 		r.Replace(relay.Records)
 	case len(relay.Records) > 0:
 		r.Change(relay.Records)
 	}
 	r.next, r.maxEnd = relay.Next, relay.Next
-	r.OnApplied(relay.Records, relay.Whole, r.next)
+	r.OnApplied(relay.Records, relay.Snapshot, r.next)
 }
 
 // fetch gets a change from another node that already has it.
--- a/internal/follow/source.go
+++ b/internal/follow/source.go
@@ -29,8 +29,8 @@
 )
 
 // wait returns how long the store may hold a read of a follower whose full wait is given.
-func (w Source) wait(full time.Duration) time.Duration {
-	switch w {
+func (s Source) wait(full time.Duration) time.Duration {
+	switch s {
 	case SourceStoreNoWait, SourceStoreProbe:
 		return 0
 	case SourceStoreShortWait:
@@ -48,7 +48,7 @@
 	// Await waits until there may be records from an offset on, -1 if nothing is known, and returns the source.
 	Await(ctx context.Context, from int64) Source
 	// Note receives the outcome of each read, except for SourceRelay.
-	Note(way Source, err error)
+	Note(source Source, err error)
 }
 
 // storeOnly always selects the store.
--- a/internal/frontend/access_test.go
+++ b/internal/frontend/access_test.go
@@ -45,7 +45,7 @@
 	node = &Node{options: Options{Settings: &Settings{}, Logger: zap.NewNop()}}
 	node.options.Settings.Access.FailClosed = true
 	node.options.Settings.Access.RevocationMs = int(testRevocationDelay.Milliseconds())
-	node.operatorGuide, node.operatorSource = node.newOperatorGuide(), fanout.NewSource()
+	node.operatorGuide, node.operatorCache = node.newOperatorGuide(), fanout.NewCache()
 	var mutex sync.Mutex
 	newest := int64(-1)
 	learn := func(records []store.Record) {
--- a/internal/frontend/election.go
+++ b/internal/frontend/election.go
@@ -46,7 +46,7 @@
 	n.jobReader.observeCoordinator(state.Leading, state.Coordinator)
 	n.electionState.Store(&state)
 	n.peers.Note(state.Coordinator)
-	n.coordinator.ObserveLease(state)
+	n.coordinator.HandleLease(state)
 	n.updateOperatorGuide(state)
 }
 
@@ -74,5 +74,5 @@
 	return liveness.Ask(ctx, n.options.Settings.Listen.Internal, address, holder, epoch)
 }
 
-// NoteAsked implements liveness.Holder.
+// NoteCaller implements liveness.Holder.
 func (n *Node) NoteCaller(address string) { n.peers.Note(address) }
--- a/internal/frontend/election_test.go
+++ b/internal/frontend/election_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// maxClaimDelay is the longest time that the oldest process waits for younger ones before it claims
-// a released lease (election.claimDelayMost).
+// maxClaimDelay equals election.maxClaimDelay: the longest time that the oldest process waits for
+// younger ones before it claims a released lease.
 const maxClaimDelay = 400 * time.Millisecond
 
 // A coordinator on a fifth of a core falls behind the events of some hundred runs, so such a node
--- a/internal/frontend/fleet_test.go
+++ b/internal/frontend/fleet_test.go
@@ -182,8 +182,8 @@
 	regressed bool
 
 	// guide and source are nil in a small fleet, whose coordinator announces nothing.
-	guide  *fanout.Guide
-	source *fanout.Source
+	guide *fanout.Guide
+	cache *fanout.Cache
 	// link limits the node's bandwidth to other nodes.
 	link nodeLink
 }
@@ -221,10 +221,10 @@
 
 // news corresponds to Node.operatorNews in a large fleet.
 func (n *fleetNode) news() *election.Announcement {
-	if n.source == nil {
+	if n.cache == nil {
 		return nil
 	}
-	return newsFrom(n.source)
+	return newsFrom(n.cache)
 }
 
 func (n *fleetNode) receive(records []store.Record) {
@@ -303,35 +303,35 @@
 
 // enableFanout makes a node follow the operator topic as in a large fleet.
 func (f *fleetOfNodes) enableFanout(node *fleetNode, name string, share float64, following *follow.KeyedOptions) {
-	node.source = fanout.NewSource()
-	node.guide = fanout.NewGuide(fanout.GuideOptions{Share: share, OnUpToDate: node.source.MarkUpToDate})
-	following.Selector, following.OnApplied = node.guide, node.source.Update
-	following.OnRead = func(_ int64, _ bool, asked time.Time) { node.source.MarkUpToDate(asked) }
+	node.cache = fanout.NewCache()
+	node.guide = fanout.NewGuide(fanout.GuideOptions{Share: share, OnUpToDate: node.cache.MarkUpToDate})
+	following.Selector, following.OnApplied = node.guide, node.cache.Update
+	following.OnRead = func(_ int64, _ bool, asked time.Time) { node.cache.MarkUpToDate(asked) }
 	readFor := following.ReadRelayed
-	following.ReadRelayed = func(ctx context.Context, from int64) (follow.Relay, error) {
+	following.ReadRelayed = func(ctx context.Context, from int64) (follow.RelayedRecords, error) {
 		if node.guide.HasAnnouncement() {
 			asked := time.Now()
 			poll, cancel := node.guide.UntilReadable(ctx)
 			defer cancel()
 			answer, err := fanout.Poll(poll, f.take, node.peers.Known(), from, name)
 			if err == nil {
-				node.source.MarkUpToDate(asked.Add(-answer.Age))
-				return follow.Relay{Records: answer.Records, Whole: answer.Whole, Next: answer.Next}, nil
+				node.cache.MarkUpToDate(asked.Add(-answer.Age))
+				return follow.RelayedRecords{Records: answer.Records, Snapshot: answer.Whole, Next: answer.Next}, nil
 			}
 			if errors.Is(err, fanout.ErrStale) || poll.Err() != nil {
-				return follow.Relay{}, err
+				return follow.RelayedRecords{}, err
 			}
 		}
 		return readFor(ctx, from)
 	}
-	following.Fetch = func(ctx context.Context, from int64) (follow.Relay, error) {
+	following.Fetch = func(ctx context.Context, from int64) (follow.RelayedRecords, error) {
 		asked, announcement := time.Now(), node.guide.Announcement()
 		answer, err := fanout.Fetch(ctx, f.take, announcement.From, fanout.Question{From: from, Next: announcement.Large, Asker: name})
 		if err != nil {
-			return follow.Relay{}, err
+			return follow.RelayedRecords{}, err
 		}
-		node.source.MarkUpToDate(asked.Add(-answer.Age))
-		return follow.Relay{Records: answer.Records, Whole: answer.Whole, Next: answer.Next}, nil
+		node.cache.MarkUpToDate(asked.Add(-answer.Age))
+		return follow.RelayedRecords{Records: answer.Records, Snapshot: answer.Whole, Next: answer.Next}, nil
 	}
 }
 
@@ -346,7 +346,7 @@
 	if giver.isStopped() {
 		return fanout.Answer{}, errNoAddress
 	}
-	answer := giver.source.Serve(ctx, question)
+	answer := giver.cache.Serve(ctx, question)
 	if !pause.For(ctx, giver.link.send(sizeOf(answer.Records))) {
 		return fanout.Answer{}, ctx.Err()
 	}
@@ -376,7 +376,7 @@
 }
 
 // relayFunc returns the function by which a node reads the operator topic by way of others.
-func (f *fleetOfNodes) relayFunc(node *fleetNode) func(context.Context, int64) (follow.Relay, error) {
+func (f *fleetOfNodes) relayFunc(node *fleetNode) func(context.Context, int64) (follow.RelayedRecords, error) {
 	call := func(ctx context.Context, address string, question storeproxy.Question) (storeproxy.Answer, error) {
 		reader := f.nodeAt(address)
 		if reader.isStopped() {
@@ -388,9 +388,9 @@
 		}
 		return answer, nil
 	}
-	return func(ctx context.Context, from int64) (follow.Relay, error) {
+	return func(ctx context.Context, from int64) (follow.RelayedRecords, error) {
 		answer, err := storeproxy.AskBy(ctx, call, &node.peers, storeproxy.Question{From: from})
-		return follow.Relay{Records: answer.Records, Whole: answer.Whole, Next: answer.Next}, err
+		return follow.RelayedRecords{Records: answer.Records, Snapshot: answer.Whole, Next: answer.Next}, err
 	}
 }
 
--- a/internal/frontend/metrics.go
+++ b/internal/frontend/metrics.go
@@ -140,7 +140,7 @@
 	gauge("dalehook_unscored_items", "Items whose text is whole and has no score yet, at the coordinator.", func() float64 {
 		return float64(n.coordinator.State().Unscored)
 	})
-	gauge("dalehook_held_requests", "Requests that are held since they crash servers.", func() float64 { return float64(n.quarantine.Held()) })
+	gauge("dalehook_held_requests", "Requests that are held since they crash servers.", func() float64 { return float64(n.crashTracker.Held()) })
 	if droppedLines != nil {
 		gauge("dalehook_log_lines_lost", "Log lines that were lost since the start.", func() float64 { return float64(droppedLines()) })
 	}
--- a/internal/frontend/node.go
+++ b/internal/frontend/node.go
@@ -120,10 +120,10 @@
 	metrics *nodeMetrics
 	// operatorReadAt is when the store last confirmed the newest configuration.
 	operatorReadAt latestTime
-	// operatorGuide decides where this node reads the operator topic; operatorSource keeps the
+	// operatorGuide decides where this node reads the operator topic; operatorCache keeps the
 	// topic's records for other nodes.
-	operatorGuide  *fanout.Guide
-	operatorSource *fanout.Source
+	operatorGuide *fanout.Guide
+	operatorCache *fanout.Cache
 	// storeAnsweredAt is when any call of this node to the store last succeeded.
 	storeAnsweredAt latestTime
 	// configurationAsOf is when this node, or the one that relayed the answer, sent the request to
@@ -133,20 +133,20 @@
 	leave             chan struct{}
 	directory         *directory.Directory
 	// zones tracks the evacuated zones.
-	zones       evacuatedZones
-	servers     *serverlist.List
-	gateway     *gateway.Gateway
-	quarantine  *crashwatch.Tracker
-	startedAt   time.Time
-	jobs        *joblog.Logs
-	jobReader   *jobReader
-	coordinator *coordinator.Coordinator
+	zones        evacuatedZones
+	servers      *serverlist.List
+	gateway      *gateway.Gateway
+	crashTracker *crashwatch.Tracker
+	startedAt    time.Time
+	jobs         *joblog.Logs
+	jobReader    *jobReader
+	coordinator  *coordinator.Coordinator
 	// leaseHold is the state of the lease while this process holds it.
 	leaseHold election.Yielder
 	// peers are the last known coordinators, and the nodes that last asked this one whether it
 	// holds the lease.
 	peers storeproxy.Peers
-	// standing is this process's state in the election; nil until known.
+	// electionState is this process's state in the election; nil until known.
 	electionState atomic.Pointer[election.State]
 	// usageSender and usageReporter are nil if usage isn't reported.
 	usageSender   *usage.Sender
@@ -159,12 +159,12 @@
 func NewNode(options Options) *Node {
 	adapter, logger := options.Adapter, options.Logger
 	n := &Node{options: options, logger: logger.Named("node"), leave: make(chan struct{}), directory: directory.NewDirectory(), startedAt: clock.Now()}
-	n.operatorGuide, n.operatorSource = n.newOperatorGuide(), fanout.NewSource()
+	n.operatorGuide, n.operatorCache = n.newOperatorGuide(), fanout.NewCache()
 	n.metrics = newNodeMetrics(n, options.DroppedLines)
-	n.quarantine = n.newQuarantine(logger)
+	n.crashTracker = n.newCrashTracker(logger)
 	n.zones = evacuatedZones{directory: n.directory, onChange: n.notifyServersChanged, logger: n.logger}
 	n.gateway = gateway.NewGateway(gateway.Options{
-		Backend: adapter.Backend(), Directory: n.directory, Node: options.Settings.Node, Zone: options.Settings.Zone, Quarantine: n.quarantine,
+		Backend: adapter.Backend(), Directory: n.directory, Node: options.Settings.Node, Zone: options.Settings.Zone, CrashTracker: n.crashTracker,
 		Logger: logger.Named("gateway"), Observe: n.metrics.observeRequest, OnStarted: n.countStarted,
 	})
 	adapter.ObserveStore(n.observeStore)
@@ -179,7 +179,7 @@
 		Established: n.coordinatorEstablished, OnChange: n.notifyServersChanged, SharedServices: n.sharedServices, LeaveBound: time.Duration(options.Settings.LeaveBoundMs) * time.Millisecond,
 	})
 	n.coordinator = coordinator.New(coordinator.Options{
-		Engines: adapter.Engines(), Quarantine: n.quarantine, Rewards: &rewardCaller{gateway: n.gateway, logger: logger.Named("reward")}, Log: adapter.Log(), Jobs: n.jobs, Directory: n.directory,
+		Engines: adapter.Engines(), CrashTracker: n.crashTracker, Rewards: &rewardCaller{gateway: n.gateway, logger: logger.Named("reward")}, Log: adapter.Log(), Jobs: n.jobs, Directory: n.directory,
 		OrderPause: time.Duration(options.Settings.OrderPauseMs) * time.Millisecond,
 		Fenced:     options.Settings.FencingEnforced,
 		Logger:     logger.Named("coordinator"),
@@ -206,8 +206,8 @@
 	var background conc.WaitGroup
 	calls := rpc.NewServer()
 	if err := errors.Join(liveness.Register(calls, n.processID(), n), jobread.Register(calls, n.jobReader), usage.Register(calls, n.options.Adapter.Log()),
-		storeproxy.Register(calls, storeproxy.NewProxy(n.options.Adapter.Log(), &n.peers)), crashwatch.Register(calls, n.quarantine), nodestatus.Register(calls, n),
-		fanout.Register(calls, n.operatorSource)); err != nil {
+		storeproxy.Register(calls, storeproxy.NewProxy(n.options.Adapter.Log(), &n.peers)), crashwatch.Register(calls, n.crashTracker), nodestatus.Register(calls, n),
+		fanout.Register(calls, n.operatorCache)); err != nil {
 		return err
 	}
 	background.Go(func() {
@@ -245,7 +245,7 @@
 	background.Go(func() { follow.Keyed(ctx, n.operatorFollowOptions(log)) })
 	background.Go(func() { clock.Watch(ctx, n.logger) })
 	background.Go(func() { n.servers.Run(ctx) })
-	background.Go(func() { n.quarantine.Run(ctx) })
+	background.Go(func() { n.crashTracker.Run(ctx) })
 	background.Go(func() { n.jobs.Run(ctx) })
 	background.Go(func() { n.coordinator.Run(ctx) })
 	background.Go(func() {
@@ -393,7 +393,7 @@
 		}
 		if model, version, ok := n.options.Adapter.Version(record); ok {
 			n.logger.Info("version named", zap.String("model", model), zap.Int64("version", version))
-			n.coordinator.ObserveVersion(model, version)
+			n.coordinator.HandleVersion(model, version)
 			continue
 		}
 		table, err := n.options.Adapter.Table(record)
@@ -416,6 +416,6 @@
 	}
 	n.table.Store(table)
 	n.logger.Info("configuration in force", zap.Int64("configuration", table.Version), zap.Int("routes", len(table.Routes)))
-	n.coordinator.ObserveTable(table)
-	n.coordinator.ObserveServers()
+	n.coordinator.HandleTable(table)
+	n.coordinator.HandleServers()
 }
--- a/internal/frontend/operatorfollow.go
+++ b/internal/frontend/operatorfollow.go
@@ -23,7 +23,7 @@
 	return follow.KeyedOptions{
 		Log: log, Topic: store.TopicOperator, MinInterval: operatorMinInterval, Wait: n.operatorReadWait(), LargeTopic: true, Logger: n.options.Logger.Named("operator"),
 		Replace: n.replaceOperatorRecords, Change: n.handleOperatorRecords, OnRead: n.recordOperatorRead, ReadRelayed: n.readOperatorRelayed,
-		Selector: n.operatorGuide, Fetch: n.fetchOperator, OnApplied: n.operatorSource.Update,
+		Selector: n.operatorGuide, Fetch: n.fetchOperator, OnApplied: n.operatorCache.Update,
 	}
 }
 
@@ -41,11 +41,11 @@
 	if !n.servers.LargeFleet() || n.options.Settings.Access.FailClosed {
 		return nil
 	}
-	return newsFrom(n.operatorSource)
+	return newsFrom(n.operatorCache)
 }
 
-func newsFrom(source *fanout.Source) *election.Announcement {
-	state, ok := source.State()
+func newsFrom(cache *fanout.Cache) *election.Announcement {
+	state, ok := cache.State()
 	if !ok {
 		return nil
 	}
@@ -81,29 +81,29 @@
 // time.
 func (n *Node) recordOperatorFreshness(at time.Time) {
 	n.configurationAsOf.advance(at)
-	n.operatorSource.MarkUpToDate(at)
+	n.operatorCache.MarkUpToDate(at)
 }
 
 // fetchOperator fetches a change from the coordinator, or from a node to which the coordinator
 // referred this one.
-func (n *Node) fetchOperator(ctx context.Context, from int64) (follow.Relay, error) {
+func (n *Node) fetchOperator(ctx context.Context, from int64) (follow.RelayedRecords, error) {
 	asked := clock.Now()
 	announcement := n.operatorGuide.Announcement()
 	answer, err := fanout.Fetch(ctx, fanout.CallNode, announcement.From, fanout.Question{From: from, Next: announcement.Large, Asker: n.options.Settings.Listen.Internal})
 	if err != nil {
-		return follow.Relay{}, err
+		return follow.RelayedRecords{}, err
 	}
 	n.logger.Info("change fetched from another node", zap.Int64("offset", from), zap.Int64("next", answer.Next),
 		zap.Int("records", len(answer.Records)), zap.Duration("took", clock.Since(asked)))
 	n.recordOperatorFreshness(asked.Add(-answer.Age))
-	return follow.Relay{Records: answer.Records, Whole: answer.Whole, Next: answer.Next}, nil
+	return follow.RelayedRecords{Records: answer.Records, Snapshot: answer.Whole, Next: answer.Next}, nil
 }
 
 // readOperatorRelayed reads the operator topic by way of other nodes while the store doesn't answer
 // this one. In a large fleet the coordinator gives the records to a few nodes, which pass them on.
 // Otherwise another node reads the store for this one; for hundreds of nodes at once that would
 // fill its link.
-func (n *Node) readOperatorRelayed(ctx context.Context, from int64) (follow.Relay, error) {
+func (n *Node) readOperatorRelayed(ctx context.Context, from int64) (follow.RelayedRecords, error) {
 	asked := clock.Now()
 	if n.operatorGuide.HasAnnouncement() {
 		poll, cancel := n.operatorGuide.UntilReadable(ctx)
@@ -111,22 +111,22 @@
 		answer, err := fanout.Poll(poll, fanout.CallNode, n.peers.Known(), from, n.options.Settings.Listen.Internal)
 		if err == nil {
 			n.recordOperatorFreshness(asked.Add(-answer.Age))
-			return follow.Relay{Records: answer.Records, Whole: answer.Whole, Next: answer.Next}, nil
+			return follow.RelayedRecords{Records: answer.Records, Snapshot: answer.Whole, Next: answer.Next}, nil
 		}
 		if errors.Is(err, fanout.ErrStale) || poll.Err() != nil {
-			return follow.Relay{}, err
+			return follow.RelayedRecords{}, err
 		}
 		n.logger.Debug("no node passes the operator topic on", zap.Error(err))
 		asked = clock.Now()
 	}
 	answer, err := storeproxy.Ask(ctx, &n.peers, storeproxy.Question{From: from})
 	if err != nil {
-		return follow.Relay{}, err
+		return follow.RelayedRecords{}, err
 	}
 	n.recordOperatorFreshness(asked.Add(-answer.Age))
 	return relayFrom(answer), nil
 }
 
-func relayFrom(answer storeproxy.Answer) follow.Relay {
-	return follow.Relay{Records: answer.Records, Whole: answer.Whole, Next: answer.Next}
+func relayFrom(answer storeproxy.Answer) follow.RelayedRecords {
+	return follow.RelayedRecords{Records: answer.Records, Snapshot: answer.Whole, Next: answer.Next}
 }
--- a/internal/frontend/operatorfollow_test.go
+++ b/internal/frontend/operatorfollow_test.go
@@ -31,11 +31,11 @@
 				server := directory.Server{ID: string(rune('a' + number)), Service: "s"}
 				list.Apply([]directory.Change{{ID: server.ID, Server: &server}})
 			}
-			n := &Node{options: Options{Settings: &Settings{}}, servers: serverlist.New(serverlist.Options{Directory: list}), operatorSource: fanout.NewSource()}
+			n := &Node{options: Options{Settings: &Settings{}}, servers: serverlist.New(serverlist.Options{Directory: list}), operatorCache: fanout.NewCache()}
 			n.options.Settings.Access.FailClosed = c.failClosed
 			if c.knows {
-				n.operatorSource.Update([]store.Record{{Offset: 6, Key: "config", Value: make([]byte, fanout.LargeBytes)}}, true, 7)
-				n.operatorSource.MarkUpToDate(clock.Now())
+				n.operatorCache.Update([]store.Record{{Offset: 6, Key: "config", Value: make([]byte, fanout.LargeBytes)}}, true, 7)
+				n.operatorCache.MarkUpToDate(clock.Now())
 			}
 			news := n.operatorNews()
 			if (news != nil) != c.tells {
--- a/internal/frontend/quarantine.go
+++ b/internal/frontend/quarantine.go
@@ -11,24 +11,24 @@
 	"dalehook/internal/storeproxy"
 )
 
-// newQuarantine returns the tracker of requests that crash servers. Nodes share their cases through
+// newCrashTracker returns the tracker of requests that crash servers. Nodes share their cases through
 // the store, or through another node if the store doesn't answer them.
-func (n *Node) newQuarantine(logger *zap.Logger) *crashwatch.Tracker {
+func (n *Node) newCrashTracker(logger *zap.Logger) *crashwatch.Tracker {
 	adapter := n.options.Adapter
 	return crashwatch.NewTracker(crashwatch.Options{
 		Node: n.processID(), Log: adapter.Log(), Directory: n.directory, Probe: adapter.Probe,
-		Logger:    logger.Named("quarantine"),
-		Relay:     crashwatch.Relay{Read: n.readQuarantineRelayed, Put: n.putQuarantineRelayed},
-		OnChange:  func() { n.coordinator.ObserveQuarantine() },
-		IsCleaner: func() bool { return n.coordinator.State().Leading },
-		Observer:  n.metrics, TimeOfDay: n.options.TimeOfDay,
+		Logger:     logger.Named("quarantine"),
+		StoreProxy: crashwatch.StoreProxy{Read: n.readQuarantineRelayed, Put: n.putQuarantineRelayed},
+		OnChange:   func() { n.coordinator.HandleSuspicions() },
+		IsCleaner:  func() bool { return n.coordinator.State().Leading },
+		Observer:   n.metrics, TimeOfDay: n.options.TimeOfDay,
 	})
 }
 
-func (n *Node) readQuarantineRelayed(ctx context.Context, from int64) (follow.Relay, error) {
+func (n *Node) readQuarantineRelayed(ctx context.Context, from int64) (follow.RelayedRecords, error) {
 	answer, err := storeproxy.Ask(ctx, &n.peers, storeproxy.Question{Topic: store.TopicQuarantine, From: from})
 	if err != nil {
-		return follow.Relay{}, err
+		return follow.RelayedRecords{}, err
 	}
 	return relayFrom(answer), nil
 }
@@ -37,9 +37,9 @@
 	return storeproxy.Put(ctx, &n.peers, storeproxy.Addition{Topic: store.TopicQuarantine, Records: records})
 }
 
-// notifyServersChanged tells the quarantine and the coordinator that the list of servers has
+// notifyServersChanged tells the crash tracker and the coordinator that the list of servers has
 // changed.
 func (n *Node) notifyServersChanged() {
-	n.quarantine.ObserveServers()
-	n.coordinator.ObserveServers()
+	n.crashTracker.ObserveServers()
+	n.coordinator.HandleServers()
 }
--- a/internal/frontend/scaling.go
+++ b/internal/frontend/scaling.go
@@ -23,7 +23,7 @@
 
 // scalingView returns the state of the services whose number of servers is scaled.
 func (n *Node) scalingView() scaling.View {
-	view := scaling.View{Listed: make(map[string]map[string]int), Open: n.coordinator.Demand()}
+	view := scaling.View{Listed: make(map[string]map[string]int), Open: n.coordinator.UnfinishedItems()}
 	table := n.table.Load()
 	if table == nil {
 		return view
--- a/internal/frontend/service.go
+++ b/internal/frontend/service.go
@@ -62,7 +62,7 @@
 	if n.leaving.Load() || n.table.Load() == nil || !n.servers.Complete() {
 		return false
 	}
-	if !n.quarantine.Loaded() && clock.Since(n.startedAt) < quarantineWait {
+	if !n.crashTracker.Loaded() && clock.Since(n.startedAt) < quarantineWait {
 		return false
 	}
 	return n.storeSilentFor() < storeSilenceLimit
--- a/internal/gateway/balancer.go
+++ b/internal/gateway/balancer.go
@@ -106,8 +106,8 @@
 	state.recentSends.Record(now)
 }
 
-// isRateLimited reports whether this node sent a server as many requests within the last second as
-// slowstart.Most allows.
+// isRateLimited reports whether this node has sent a server as many requests within the last second
+// as slowstart.Limit allows.
 func (b *balancer) isRateLimited(now time.Time, server *directory.Server, warmUpRate float64) bool {
 	state := b.states[server.Incarnation()]
 	return state != nil && state.recentSends.Full(now, slowstart.Limit(warmUpRate, server.Slots, now.Before(server.WarmAt)))
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -26,9 +26,9 @@
 	Node string
 	// Zone is this node's zone; its servers are preferred.
 	Zone string
-	// Quarantine identifies requests that crash servers; nil disables it.
-	Quarantine *crashwatch.Tracker
-	Logger     *zap.Logger
+	// CrashTracker identifies requests that crash servers; nil disables it.
+	CrashTracker *crashwatch.Tracker
+	Logger       *zap.Logger
 	// Observe is called with the outcome of each request.
 	Observe func(Outcome)
 	// OnStarted is called when a server starts to execute a request, with its tenant and the time.
@@ -59,8 +59,8 @@
 	if options.OnStarted == nil {
 		options.OnStarted = func(string, time.Time) {}
 	}
-	if options.Quarantine == nil {
-		options.Quarantine = crashwatch.NewTracker(crashwatch.Options{})
+	if options.CrashTracker == nil {
+		options.CrashTracker = crashwatch.NewTracker(crashwatch.Options{})
 	}
 	return &Gateway{options: options, balancer: newBalancer(options.Node, options.Zone)}
 }
@@ -199,7 +199,7 @@
 	if !c.held {
 		return defaultRetryAfter
 	}
-	remaining := clock.Until(c.gateway.options.Quarantine.HoldExpiry(c.fingerprint()))
+	remaining := clock.Until(c.gateway.options.CrashTracker.HoldExpiry(c.fingerprint()))
 	return max(remaining.Truncate(time.Millisecond), minHeldRetryAfter)
 }
 
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -13,7 +13,7 @@
 // serveStream serves a request whose response is an event stream. A resumable stream that breaks is
 // continued at another server within the same response.
 func (c *call) serveStream(ctx context.Context, w http.ResponseWriter) int {
-	relay := &streamRelay{call: c, w: w, lastEventID: c.request.LastEventID}
+	relay := &streamForwarder{call: c, w: w, lastEventID: c.request.LastEventID}
 	for {
 		server := c.nextServer(ctx)
 		if server == nil {
@@ -43,8 +43,8 @@
 	}
 }
 
-// streamRelay forwards the events of one or more servers as a single response.
-type streamRelay struct {
+// streamForwarder forwards the events of one or more servers as a single response.
+type streamForwarder struct {
 	call        *call
 	w           http.ResponseWriter
 	lastEventID string
@@ -57,7 +57,7 @@
 }
 
 // forward passes a response on; done says that the caller has the final response.
-func (r *streamRelay) forward(response *Response, sendErr *SendError) (done bool, status int) {
+func (r *streamForwarder) forward(response *Response, sendErr *SendError) (done bool, status int) {
 	c := r.call
 	if sendErr != nil {
 		c.recordSendError(sendErr)
@@ -88,7 +88,7 @@
 
 // forwardFailure passes on a response that is not a stream, unless another server may do better or
 // the header has been sent.
-func (r *streamRelay) forwardFailure(response *Response) (done bool, status int) {
+func (r *streamForwarder) forwardFailure(response *Response) (done bool, status int) {
 	r.call.reason = "failed at the server"
 	if r.headerSent || r.call.repeatable && response.Status >= http.StatusInternalServerError {
 		return false, 0
@@ -101,7 +101,7 @@
 	return true, response.Status
 }
 
-func (r *streamRelay) writeHeader(response *Response) {
+func (r *streamForwarder) writeHeader(response *Response) {
 	if r.headerSent {
 		return
 	}
@@ -114,7 +114,7 @@
 
 // forwardEvents passes complete events on as they arrive; it returns io.EOF at the end of the
 // stream.
-func (r *streamRelay) forwardEvents(body io.Reader) error {
+func (r *streamForwarder) forwardEvents(body io.Reader) error {
 	events := eventstream.NewReader(body)
 	for {
 		event, err := events.Read()
@@ -135,14 +135,14 @@
 	}
 }
 
-func (r *streamRelay) flush() {
+func (r *streamForwarder) flush() {
 	// A writer without Flush does not buffer.
 	_ = http.NewResponseController(r.w).Flush()
 }
 
 // fail ends the response: with an error status if nothing was sent, else by aborting the
 // connection, so that the caller does not take a truncated stream for a complete one.
-func (r *streamRelay) fail() int {
+func (r *streamForwarder) fail() int {
 	if !r.headerSent {
 		return r.call.writeFailure(r.w)
 	}
--- a/internal/gateway/suspicion.go
+++ b/internal/gateway/suspicion.go
@@ -24,7 +24,7 @@
 
 // suspicion returns the current suspicion of the request.
 func (c *call) suspicion() quarantine.Suspicion {
-	tracker := c.gateway.options.Quarantine
+	tracker := c.gateway.options.CrashTracker
 	if !tracker.Active() {
 		return quarantine.Suspicion{}
 	}
@@ -38,13 +38,13 @@
 	if !suspicion.ProbePending {
 		return suspicion
 	}
-	c.gateway.options.Quarantine.AwaitProbes(ctx, c.fingerprint())
+	c.gateway.options.CrashTracker.AwaitProbes(ctx, c.fingerprint())
 	return c.suspicion()
 }
 
 // beginTrial reports whether an ambiguous request may run now, and marks it as running.
 func (c *call) beginTrial() bool {
-	c.inTrial = c.gateway.options.Quarantine.BeginTrial(c.fingerprint())
+	c.inTrial = c.gateway.options.CrashTracker.BeginTrial(c.fingerprint())
 	return c.inTrial
 }
 
@@ -52,7 +52,7 @@
 func (c *call) endTrial() {
 	if c.inTrial {
 		c.inTrial = false
-		c.gateway.options.Quarantine.EndTrial(c.fingerprint())
+		c.gateway.options.CrashTracker.EndTrial(c.fingerprint())
 	}
 }
 
@@ -78,7 +78,7 @@
 // not this node or the caller, broke the connection after the request had been sent; progressed
 // says that the server had produced events.
 func (c *call) reportToTracker(server *directory.Server, start time.Time, breakErr error, progressed, answered bool) {
-	tracker := c.gateway.options.Quarantine
+	tracker := c.gateway.options.CrashTracker
 	switch {
 	case breakErr != nil:
 		tracker.RecordBreak(c.fingerprint(), *server, crashwatch.InFlightRequest{SentAt: start, Progressed: progressed})
--- a/internal/gateway/suspicion_test.go
+++ b/internal/gateway/suspicion_test.go
@@ -63,7 +63,7 @@
 	var running sync.WaitGroup
 	running.Go(func() { tracker.Run(ctx) })
 	t.Cleanup(func() { cancel(); running.Wait() })
-	gateway := NewGateway(Options{Backend: pool, Directory: list, Quarantine: tracker, Logger: zap.NewNop()})
+	gateway := NewGateway(Options{Backend: pool, Directory: list, CrashTracker: tracker, Logger: zap.NewNop()})
 	route := &routetable.Route{Kind: kind, Resumable: true, MaxAttempts: 2, LatencyTarget: 50 * time.Millisecond, Targets: []routetable.Target{{Service: "svc", Weight: 1}}}
 	table := routetable.NewTable(1, []routetable.Route{*route}, nil, routetable.Limits{})
 	return func(body string) *httptest.ResponseRecorder {
--- a/internal/scheduler/assign.go
+++ b/internal/scheduler/assign.go
@@ -231,7 +231,7 @@
 		ExpectVersion: expected,
 		Deadline:      next.job.giveUpAt,
 		Inputs: Inputs{
-			Term:     m.options.Term,
+			Epoch:    m.options.Epoch,
 			Version:  chosen.versions[next.job.model],
 			Attempts: len(chosen.attempts) - 1,
 			Gap:      time.Duration(chosen.gap * float64(time.Second)),
--- a/internal/scheduler/jobs.go
+++ b/internal/scheduler/jobs.go
@@ -37,7 +37,7 @@
 		opened.recordResult(&results[i])
 	}
 	m.route(opened)
-	m.observeDemand(accepted)
+	m.observeStepTokens(accepted)
 	for i := range accepted.Items {
 		if waiting := opened.items[accepted.Items[i].ID]; waiting != nil {
 			m.resume(now, opened, waiting)
@@ -72,20 +72,20 @@
 	return recorded
 }
 
-// demandSmoothing is the weight of the newest step in a model's demand.
-const demandSmoothing = 0.4
+// stepTokensSmoothing is the weight of the newest step in a model's tokens per step.
+const stepTokensSmoothing = 0.4
 
-// observeDemand updates the expected tokens per step of a model.
-func (m *Machine) observeDemand(accepted *batch.Job) {
+// observeStepTokens updates the expected tokens per step of a model.
+func (m *Machine) observeStepTokens(accepted *batch.Job) {
 	total := 0.0
 	for i := range accepted.Items {
 		total += float64(max(accepted.Items[i].Expected, 1))
 	}
-	previous, known := m.demand[accepted.Model]
+	previous, known := m.tokensPerStep[accepted.Model]
 	if !known {
 		previous = total
 	}
-	m.demand[accepted.Model] = previous + demandSmoothing*(total-previous)
+	m.tokensPerStep[accepted.Model] = previous + stepTokensSmoothing*(total-previous)
 }
 
 // longestFirst orders resubmitted items first, then items by falling expected length.
--- a/internal/scheduler/loads.go
+++ b/internal/scheduler/loads.go
@@ -15,7 +15,7 @@
 const loadRetryDelay = 400 * time.Millisecond
 
 // assignModels assigns a model to each engine, which loads the new versions of that model. Engines
-// are shared between the models of a service in proportion to demand, and keep their model while
+// are shared between the models of a service in proportion to their tokens per step, and keep their model while
 // the shares do not change.
 func (m *Machine) assignModels() {
 	byService := make(map[string][]*engine)
@@ -92,16 +92,17 @@
 	return assigned == engines
 }
 
-// modelWeight returns the demand of a model. Models without jobs so far get the mean demand.
+// modelWeight returns the expected tokens per step of a model. Models without jobs so far get the
+// mean of the others.
 func (m *Machine) modelWeight(model string) float64 {
-	if demand, known := m.demand[model]; known {
-		return demand
+	if tokens, known := m.tokensPerStep[model]; known {
+		return tokens
 	}
 	total := 0.0
-	for _, demand := range m.demand {
-		total += demand
+	for _, tokens := range m.tokensPerStep {
+		total += tokens
 	}
-	return max(total/float64(max(len(m.demand), 1)), 1)
+	return max(total/float64(max(len(m.tokensPerStep), 1)), 1)
 }
 
 // nextModelByQuotient returns the model that gets the next engine: a model without engines first,
--- a/internal/scheduler/machine.go
+++ b/internal/scheduler/machine.go
@@ -28,8 +28,8 @@
 	// retained holds the state of items whose jobs ended before their groups were complete. They
 	// may be resubmitted in a later job.
 	retained map[string]*retainedItem
-	// demand holds the expected tokens per step of each model.
-	demand map[string]float64
+	// tokensPerStep holds the expected tokens per step of each model.
+	tokensPerStep map[string]float64
 	// loadWindows limits the concurrent loads of each service.
 	loadWindows map[string]*loadWindow
 	// activeLoads counts the loading engines of each service.
@@ -71,7 +71,7 @@
 		newestVersions: make(map[string]int64),
 		lastRead:       make(map[int]time.Time),
 		retained:       make(map[string]*retainedItem),
-		demand:         make(map[string]float64),
+		tokensPerStep:  make(map[string]float64),
 		loadWindows:    make(map[string]*loadWindow),
 		activeLoads:    make(map[string]int),
 		rewards:        reward.NewQueue(),
@@ -98,17 +98,17 @@
 	return waiting
 }
 
-// Demand returns the number of items without a complete text, by service.
-func (m *Machine) Demand() map[string]int {
-	demand := make(map[string]int)
+// UnfinishedItems returns the number of items without a complete text, by service.
+func (m *Machine) UnfinishedItems() map[string]int {
+	unfinishedItems := make(map[string]int)
 	for _, job := range m.jobs {
 		for _, unfinished := range job.items {
 			if !unfinished.finished && !unfinished.textComplete {
-				demand[unfinished.service]++
+				unfinishedItems[unfinished.service]++
 			}
 		}
 	}
-	return demand
+	return unfinishedItems
 }
 
 // Unscored returns the number of items with a complete text and no score.
--- a/internal/scheduler/progress.go
+++ b/internal/scheduler/progress.go
@@ -166,10 +166,10 @@
 // detachedRunName is the run name of a checkpoint that no later progress continues: the text is
 // complete, or no run is extending it.
 func (m *Machine) detachedRunName() string {
-	return strconv.FormatInt(m.options.Term, 36) + ".none"
+	return strconv.FormatInt(m.options.Epoch, 36) + ".none"
 }
 
 // runName returns a name of an attempt that is unique across machines.
 func (m *Machine) runName(running *attempt) string {
-	return strconv.FormatInt(m.options.Term, 36) + "." + strconv.FormatUint(uint64(running.id), 36)
+	return strconv.FormatInt(m.options.Epoch, 36) + "." + strconv.FormatUint(uint64(running.id), 36)
 }
--- a/internal/scheduler/types.go
+++ b/internal/scheduler/types.go
@@ -38,8 +38,8 @@
 
 // Inputs are the values that the choice of the engine was based on, for logs.
 type Inputs struct {
-	// Term is the epoch of the lease.
-	Term int64
+	// Epoch is the epoch of the lease.
+	Epoch int64
 	// Version is the last known weight version of the engine.
 	Version int64
 	// Attempts is the number of other items running on the engine.
@@ -154,8 +154,8 @@
 
 // Options configures a Machine.
 type Options struct {
-	// Term is the epoch of the lease under which the machine runs.
-	Term int64
+	// Epoch is the epoch of the lease under which the machine runs.
+	Epoch int64
 	// ConcurrentLoads is the minimum load window of each service. The window grows while this does
 	// not slow loads down.
 	ConcurrentLoads int
