--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -1,5 +1,10 @@
 // Package coordinator runs the batch scheduler on the node that holds the lease. It
 // passes events from the store and the engines to the scheduler and executes its decisions.
+//
+// A term is the time for which a node coordinates under one epoch of the lease. A process that is
+// about to end resigns its term; one that cannot reach the store yields it at the request of another
+// node. In both cases its runs continue until it hands them over: the successor takes over their
+// progress and what was not yet appended.
 package coordinator
 
 import (
@@ -62,7 +67,8 @@
 type Observer interface {
 	ObserveAttempt(reason scheduler.EndReason)
 	ObserveResult(outcome string)
-	ObserveLoad(taken bool)
+	// ObserveLoad records whether an engine had the ordered version afterwards.
+	ObserveLoad(loaded bool)
 	// ObserveReward records the verdict of a reward call and the time since its item's
 	// text was complete.
 	ObserveReward(verdict reward.Verdict, waited time.Duration)
@@ -119,11 +125,11 @@
 	lease      election.Lease
 	// termEpoch is the lease epoch of the current term.
 	termEpoch int64
-	// resigned is true while a resigned term continues its runs until the successor takes over.
+	// resigned is true while a resigned or yielded term continues its runs until the successor takes over.
 	resigned bool
-	// successorWontAsk is true if the successor may not request a handover, so that the
-	// runs end after unaskedGracePeriod.
-	successorWontAsk bool
+	// successorRequestsNoHandover is true if the successor may not request a handover, so that
+	// the runs end after noRequestGracePeriod.
+	successorRequestsNoHandover bool
 	// lastHandover is the handover of the last resigned term.
 	lastHandover   termHandover
 	attemptCancels map[scheduler.AttemptID]context.CancelFunc
@@ -173,7 +179,7 @@
 	}
 	if delay := now.Sub(c.lastTickAt) - tickInterval; delay > maxTickDelay {
 		c.options.Logger.Info("stood still", zap.Duration("lasted", delay))
-		machine.HandleProcessPause(now, delay)
+		machine.HandleProcessStall(now, delay)
 	}
 	c.lastTickAt = now
 	machine.Tick(now)
--- a/internal/coordinator/handover.go
+++ b/internal/coordinator/handover.go
@@ -16,28 +16,28 @@
 )
 
 const (
-	// takeoverTimeout bounds the handover request to a predecessor.
-	takeoverTimeout = 600 * time.Millisecond
+	// handoverRequestTimeout bounds the handover request to a predecessor.
+	handoverRequestTimeout = 600 * time.Millisecond
 	// handoverAppendAttempts is the maximum number of attempts to append a part of a handover.
 	handoverAppendAttempts = 3
-	// resignedGracePeriod is how long the runs of a resigned term continue without a successor
+	// resignedGracePeriod is how long the runs of a resigned or yielded term continue without a successor
 	// that takes them over. A successor that claims the lease at once takes over within 500 ms.
 	// Without one, the runs must end before the lease could be claimed in other ways.
 	resignedGracePeriod = 1500 * time.Millisecond
-	// unaskedGracePeriod is how long the runs continue after a claim by a successor that may not
+	// noRequestGracePeriod is how long the runs continue after a claim by a successor that may not
 	// request a handover, because its build restarts their items. An item may not run at two
 	// engines for longer than 400 ms.
-	unaskedGracePeriod = 300 * time.Millisecond
+	noRequestGracePeriod = 300 * time.Millisecond
 )
 
-// termHandover is the handover of a resigned term.
+// termHandover is the handover of a resigned or yielded term.
 type termHandover struct {
 	epoch    int64
 	handover liveness.Handover
 }
 
-// Yield resigns the term of an epoch: it starts no runs and sends no orders any more. Its runs
-// continue until the successor takes them over.
+// Yield yields the term of an epoch to another node: it starts no runs and sends no orders any more.
+// Its runs continue until the successor takes them over.
 func (c *Coordinator) Yield(epoch int64) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -46,7 +46,7 @@
 	}
 }
 
-// Resign resigns the current term, if any, because this process is about to end.
+// Resign does the same with the current term, if any, because this process is about to end.
 func (c *Coordinator) Resign() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -67,22 +67,22 @@
 }
 
 // noteSuccessorLocked records that another process has claimed the lease that this one gave up.
-func (c *Coordinator) noteSuccessorLocked(asksForHandover bool) {
-	if asksForHandover || c.successorWontAsk {
+func (c *Coordinator) noteSuccessorLocked(requestsHandover bool) {
+	if requestsHandover || c.successorRequestsNoHandover {
 		return
 	}
-	c.successorWontAsk = true
+	c.successorRequestsNoHandover = true
 	epoch := c.termEpoch
-	time.AfterFunc(unaskedGracePeriod, func() { c.HandOver(epoch) })
+	time.AfterFunc(noRequestGracePeriod, func() { c.HandOver(epoch) })
 }
 
 // quiesceLocked stops new runs and orders; the current runs continue.
 func (c *Coordinator) quiesceLocked() {
-	c.machine.Resign(clock.Now())
+	c.machine.StopStarting(clock.Now())
 	c.execute(c.machine.TakeOutput())
 }
 
-// HandOver ends the runs of a resigned term and returns the state that its successor needs. It is
+// HandOver ends the runs of a resigned or yielded term and returns the state that its successor needs. It is
 // idempotent.
 func (c *Coordinator) HandOver(epoch int64) liveness.Handover {
 	c.mutex.Lock()
@@ -127,22 +127,22 @@
 
 // takeOver has the predecessor end its runs and returns its handover. If the handover is Whole,
 // the predecessor's saved progress need not be read from the store.
-func (c *Coordinator) takeOver(termCtx context.Context, predecessor election.YieldedLease) liveness.Handover {
-	if predecessor.Address == "" {
+func (c *Coordinator) takeOver(termCtx context.Context, former election.FormerLease) liveness.Handover {
+	if former.Address == "" {
 		return liveness.Handover{}
 	}
-	ctx, cancel := context.WithTimeout(termCtx, takeoverTimeout)
+	ctx, cancel := context.WithTimeout(termCtx, handoverRequestTimeout)
 	defer cancel()
-	handover, err := liveness.TakeOver(ctx, predecessor.Address, predecessor.Epoch)
+	handover, err := liveness.TakeOver(ctx, former.Address, former.Epoch)
 	if err != nil {
-		c.options.Logger.Warn("nothing taken over", zap.String("address", predecessor.Address), zap.Error(err))
+		c.options.Logger.Warn("nothing taken over", zap.String("address", former.Address), zap.Error(err))
 		return liveness.Handover{}
 	}
 	records := 0
 	for _, pending := range handover.Pending {
 		records += len(pending.Records)
 	}
-	c.options.Logger.Info("records taken over", zap.String("address", predecessor.Address), zap.Int64("epoch", predecessor.Epoch),
+	c.options.Logger.Info("records taken over", zap.String("address", former.Address), zap.Int64("epoch", former.Epoch),
 		zap.Int("records", records), zap.Bool("whole", handover.Whole))
 	return handover
 }
--- a/internal/coordinator/takeover_test.go
+++ b/internal/coordinator/takeover_test.go
@@ -107,7 +107,7 @@
 	appendJob(t, jobs, id, 1)
 	now := time.Now()
 	c.HandleLease(election.State{Leading: true, Held: true, Lease: election.Lease{
-		Epoch: 2, ClaimedAt: now, ExpiresAt: now.Add(time.Minute), HasPredecessor: true, Yielded: election.YieldedLease{Address: address, Epoch: 1},
+		Epoch: 2, ClaimedAt: now, ExpiresAt: now.Add(time.Minute), HasPredecessor: true, HandoverFrom: election.FormerLease{Address: address, Epoch: 1},
 	}})
 	awaitItem(t, engines, id+"a")
 	if took := time.Since(now); took > appendTimeout {
--- a/internal/coordinator/term.go
+++ b/internal/coordinator/term.go
@@ -32,7 +32,7 @@
 			// No other process has claimed the lease that this one gave up.
 			c.handOverLocked()
 		case state.Coordinator != "":
-			c.noteSuccessorLocked(state.CoordinatorAsksPredecessor)
+			c.noteSuccessorLocked(state.CoordinatorRequestsHandover)
 		}
 	}
 	c.lease = state.Lease
@@ -76,7 +76,7 @@
 		partitions.Go(func() { c.options.Jobs.Follow(termCtx, number) })
 	}
 	partitions.Wait()
-	handover := c.takeOver(termCtx, lease.Yielded)
+	handover := c.takeOver(termCtx, lease.HandoverFrom)
 	var items atomic.Int64
 	if handover.Whole {
 		// All partitions come first, since an item's text may be in the partition of an earlier job.
@@ -110,7 +110,7 @@
 
 func (c *Coordinator) endTermLocked() {
 	c.machine = nil
-	c.resigned, c.successorWontAsk = false, false
+	c.resigned, c.successorRequestsNoHandover = false, false
 	c.cancelTerm()
 	c.options.Logger.Info("term ended", zap.Int64("epoch", c.termEpoch))
 }
--- a/internal/crashwatch/bench_test.go
+++ b/internal/crashwatch/bench_test.go
@@ -37,8 +37,8 @@
 		each(func(server directory.Server, fingerprint quarantine.Fingerprint) {
 			tracker.RecordBreak(fingerprint, server, InFlightRequest{Progressed: true, LocalOnly: true})
 		})
-		for _, broken := range tracker.takeUnprobed() {
-			tracker.finishProbe(broken, true)
+		for _, disconnected := range tracker.takeUnprobed() {
+			tracker.finishProbes(disconnected, true)
 		}
 		each(func(_ directory.Server, fingerprint quarantine.Fingerprint) {
 			tracker.RecordResponse(fingerprint, directory.Incarnation{ID: "other"}, clock.Now())
--- a/internal/crashwatch/probe.go
+++ b/internal/crashwatch/probe.go
@@ -42,8 +42,8 @@
 	// maxProbeDelay bounds how late a probe may finish after its due time. A node that was
 	// suspended can't tell a crash from a planned shutdown that happened meanwhile.
 	maxProbeDelay = 500 * time.Millisecond
-	// probesTimeout bounds how long a request waits for the probes.
-	probesTimeout = firstProbeDelay + secondProbeDelay + 2*probeTimeout
+	// probeSequenceTimeout bounds how long a request waits for the probes.
+	probeSequenceTimeout = firstProbeDelay + secondProbeDelay + 2*probeTimeout
 	// replacementTimeout is how long a server whose end was not detected by probes is watched for a
 	// new incarnation, or for another server at its address: machines restart within seconds.
 	replacementTimeout = 8 * time.Second
@@ -52,13 +52,13 @@
 	maxRequestsPerEnd = 256
 )
 
-// brokenServer is a server that broke connections and may have ended.
-type brokenServer struct {
+// disconnectedServer is a server that broke connections and may have ended.
+type disconnectedServer struct {
 	incarnation directory.Incarnation
-	// unlisted says that the list shows an earlier incarnation.
-	unlisted bool
-	address  string
-	service  string
+	// laterThanListed is set if the list still shows an earlier incarnation.
+	laterThanListed bool
+	address         string
+	service         string
 	// firstBreakAt is when the first connection broke.
 	firstBreakAt time.Time
 	// requests were in flight on the broken connections.
@@ -68,12 +68,12 @@
 	probesDone   chan struct{}
 }
 
-func (b *brokenServer) wasRunning(fingerprint quarantine.Fingerprint) bool {
+func (b *disconnectedServer) wasRunning(fingerprint quarantine.Fingerprint) bool {
 	_, under := b.requests[fingerprint]
 	return under
 }
 
-func (b *brokenServer) isProbing() bool {
+func (b *disconnectedServer) isProbing() bool {
 	select {
 	case <-b.probesDone:
 		return false
@@ -126,19 +126,19 @@
 
 // recordBreakLocked records a connection broken by an incarnation, which may be later than the
 // listed one.
-func (t *Tracker) recordBreakLocked(fingerprint quarantine.Fingerprint, server directory.Server, incarnation directory.Incarnation, request InFlightRequest) *brokenServer {
-	broken := t.brokenServers[incarnation]
-	if broken == nil {
-		broken = &brokenServer{
-			incarnation: incarnation, unlisted: incarnation != server.Incarnation(), address: server.Address, service: server.Service, firstBreakAt: clock.Now(),
+func (t *Tracker) recordBreakLocked(fingerprint quarantine.Fingerprint, server directory.Server, incarnation directory.Incarnation, request InFlightRequest) *disconnectedServer {
+	disconnected := t.disconnectedServers[incarnation]
+	if disconnected == nil {
+		disconnected = &disconnectedServer{
+			incarnation: incarnation, laterThanListed: incarnation != server.Incarnation(), address: server.Address, service: server.Service, firstBreakAt: clock.Now(),
 			requests: make(map[quarantine.Fingerprint]InFlightRequest), probesDone: make(chan struct{}),
 		}
-		t.brokenServers[incarnation] = broken
+		t.disconnectedServers[incarnation] = disconnected
 	}
-	if len(broken.requests) < maxRequestsPerEnd {
-		broken.requests[fingerprint] = request
+	if len(disconnected.requests) < maxRequestsPerEnd {
+		disconnected.requests[fingerprint] = request
 	}
-	return broken
+	return disconnected
 }
 
 // ObserveServers detects servers that broke connections and have been replaced in the list.
@@ -148,14 +148,14 @@
 	}
 	t.mutex.Lock()
 	snapshot := t.options.Directory.Snapshot()
-	var ended []*brokenServer
-	for _, broken := range t.brokenServers {
-		if isReplaced(snapshot, broken) {
-			ended = append(ended, broken)
+	var ended []*disconnectedServer
+	for _, disconnected := range t.disconnectedServers {
+		if isReplaced(snapshot, disconnected) {
+			ended = append(ended, disconnected)
 		}
 	}
-	for _, broken := range ended {
-		t.recordServerEndLocked(broken, evidenceReplaced)
+	for _, disconnected := range ended {
+		t.recordServerEndLocked(disconnected, evidenceReplaced)
 	}
 	t.updateLocked()
 	t.mutex.Unlock()
@@ -166,18 +166,18 @@
 
 // isReplaced reports whether the list shows a later incarnation of the server, or another server at
 // its address. The address of a server that shuts down as planned is reused only after its last
-// connection closed. For an unlisted incarnation the result is false, since the list may show that
+// connection closed. For an incarnation later than the listed one the result is false, since the list may show that
 // very incarnation next.
-func isReplaced(snapshot *directory.Snapshot, broken *brokenServer) bool {
-	if broken.unlisted {
+func isReplaced(snapshot *directory.Snapshot, disconnected *disconnectedServer) bool {
+	if disconnected.laterThanListed {
 		return false
 	}
 	found := false
 	snapshot.All(func(server *directory.Server) {
 		switch {
-		case server.ID == broken.incarnation.ID:
-			found = found || !broken.incarnation.MayBeSame(server.Incarnation())
-		case server.Address == broken.address && server.Service == broken.service:
+		case server.ID == disconnected.incarnation.ID:
+			found = found || !disconnected.incarnation.MayBeSame(server.Incarnation())
+		case server.Address == disconnected.address && server.Service == disconnected.service:
 			found = true
 		}
 	})
@@ -193,23 +193,23 @@
 )
 
 // recordServerEndLocked records that a server ended under the requests it was running.
-func (t *Tracker) recordServerEndLocked(broken *brokenServer, evidence string) {
-	t.stopWatchingLocked(broken)
-	t.ended[broken.incarnation] = clock.Now()
-	added := t.addEndsLocked(broken.incarnation, broken.requests)
-	t.options.Observer.ObserveServerEnd(evidence, len(broken.requests))
-	t.options.Logger.Info("server ended under requests", zap.String("server", broken.incarnation.ID), zap.Int64("born", broken.incarnation.Born),
-		zap.String("service", broken.service), zap.String("evidence", evidence), zap.Int("requests", len(broken.requests)),
-		zap.Strings("fingerprints", shortForms(added)), zap.Duration("after", clock.Since(broken.firstBreakAt)))
+func (t *Tracker) recordServerEndLocked(disconnected *disconnectedServer, evidence string) {
+	t.stopWatchingLocked(disconnected)
+	t.ended[disconnected.incarnation] = clock.Now()
+	added := t.addEndsLocked(disconnected.incarnation, disconnected.requests)
+	t.options.Observer.ObserveServerEnd(evidence, len(disconnected.requests))
+	t.options.Logger.Info("server ended under requests", zap.String("server", disconnected.incarnation.ID), zap.Int64("born", disconnected.incarnation.Born),
+		zap.String("service", disconnected.service), zap.String("evidence", evidence), zap.Int("requests", len(disconnected.requests)),
+		zap.Strings("fingerprints", shortForms(added)), zap.Duration("after", clock.Since(disconnected.firstBreakAt)))
 }
 
 // stopWatchingLocked stops watching a server and releases the requests that wait for its probes.
-func (t *Tracker) stopWatchingLocked(broken *brokenServer) {
-	delete(t.brokenServers, broken.incarnation)
-	broken.markProbesDone()
+func (t *Tracker) stopWatchingLocked(disconnected *disconnectedServer) {
+	delete(t.disconnectedServers, disconnected.incarnation)
+	disconnected.markProbesDone()
 }
 
-func (b *brokenServer) markProbesDone() {
+func (b *disconnectedServer) markProbesDone() {
 	if b.isProbing() {
 		close(b.probesDone)
 	}
@@ -217,7 +217,7 @@
 
 // AwaitProbes waits for the probes of all servers that broke a connection of the request.
 func (t *Tracker) AwaitProbes(ctx context.Context, fingerprint quarantine.Fingerprint) {
-	ctx, cancel := context.WithTimeout(ctx, probesTimeout)
+	ctx, cancel := context.WithTimeout(ctx, probeSequenceTimeout)
 	defer cancel()
 	for _, done := range t.pendingProbes(fingerprint) {
 		select {
@@ -232,23 +232,23 @@
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	var waits []chan struct{}
-	for _, broken := range t.brokenServers {
-		if broken.wasRunning(fingerprint) && broken.isProbing() {
-			waits = append(waits, broken.probesDone)
+	for _, disconnected := range t.disconnectedServers {
+		if disconnected.wasRunning(fingerprint) && disconnected.isProbing() {
+			waits = append(waits, disconnected.probesDone)
 		}
 	}
 	return waits
 }
 
 // takeUnprobed returns the servers that need probes and marks them as started.
-func (t *Tracker) takeUnprobed() []*brokenServer {
+func (t *Tracker) takeUnprobed() []*disconnectedServer {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	var waiting []*brokenServer
-	for _, broken := range t.brokenServers {
-		if !broken.probeStarted {
-			broken.probeStarted = true
-			waiting = append(waiting, broken)
+	var waiting []*disconnectedServer
+	for _, disconnected := range t.disconnectedServers {
+		if !disconnected.probeStarted {
+			disconnected.probeStarted = true
+			waiting = append(waiting, disconnected)
 		}
 	}
 	return waiting
@@ -257,21 +257,21 @@
 var errProbeDelayed = eris.New("node stalled between probes")
 
 // probe probes a server and records the result.
-func (t *Tracker) probe(ctx context.Context, broken *brokenServer) {
-	refused, err := t.refusesBothProbes(ctx, broken.address)
+func (t *Tracker) probeTwice(ctx context.Context, disconnected *disconnectedServer) {
+	refused, err := t.refusesBothProbes(ctx, disconnected.address)
 	if err != nil {
-		t.options.Logger.Info("probe aborted", zap.String("server", broken.incarnation.ID), zap.Error(err))
+		t.options.Logger.Info("probe aborted", zap.String("server", disconnected.incarnation.ID), zap.Error(err))
 	}
-	t.finishProbe(broken, refused)
+	t.finishProbes(disconnected, refused)
 }
 
-// finishProbe records the result of a server's probes.
-func (t *Tracker) finishProbe(broken *brokenServer, refused bool) {
+// finishProbes records the result of a server's probes.
+func (t *Tracker) finishProbes(disconnected *disconnectedServer, refused bool) {
 	t.mutex.Lock()
-	if t.brokenServers[broken.incarnation] == broken && refused {
-		t.recordServerEndLocked(broken, evidenceRefused)
+	if t.disconnectedServers[disconnected.incarnation] == disconnected && refused {
+		t.recordServerEndLocked(disconnected, evidenceRefused)
 	}
-	broken.markProbesDone()
+	disconnected.markProbesDone()
 	t.updateLocked()
 	t.mutex.Unlock()
 	t.signal()
--- a/internal/crashwatch/sweep.go
+++ b/internal/crashwatch/sweep.go
@@ -14,9 +14,9 @@
 	}
 	isCleaner := t.options.IsCleaner()
 	t.mutex.Lock()
-	for _, broken := range t.brokenServers {
-		if now.Sub(broken.firstBreakAt) > replacementTimeout {
-			t.stopWatchingLocked(broken)
+	for _, disconnected := range t.disconnectedServers {
+		if now.Sub(disconnected.firstBreakAt) > replacementTimeout {
+			t.stopWatchingLocked(disconnected)
 		}
 	}
 	for server, foundAt := range t.ended {
--- a/internal/crashwatch/tracker.go
+++ b/internal/crashwatch/tracker.go
@@ -61,8 +61,8 @@
 
 	mutex  sync.Mutex
 	ledger *quarantine.Ledger
-	// brokenServers broke connections and may have ended.
-	brokenServers map[directory.Incarnation]*brokenServer
+	// disconnectedServers broke connections and may have ended.
+	disconnectedServers map[directory.Incarnation]*disconnectedServer
 	// ended holds when the end of each recently ended incarnation was found: connections broken
 	// there are due to that end.
 	ended map[directory.Incarnation]time.Time
@@ -98,7 +98,7 @@
 	}
 	return &Tracker{
 		options: options, ledger: quarantine.NewLedger(options.Node),
-		brokenServers: make(map[directory.Incarnation]*brokenServer), ended: make(map[directory.Incarnation]time.Time),
+		disconnectedServers: make(map[directory.Incarnation]*disconnectedServer), ended: make(map[directory.Incarnation]time.Time),
 		localOnly: make(map[quarantine.Fingerprint]bool), heldSince: make(map[quarantine.Fingerprint]time.Time), trials: make(map[quarantine.Fingerprint]bool), wake: make(chan struct{}, 1), unsentWake: make(chan struct{}, 1), changedWake: make(chan struct{}, 1),
 	}
 }
@@ -125,8 +125,8 @@
 func (t *Tracker) suspicionLocked(fingerprint quarantine.Fingerprint) quarantine.Suspicion {
 	suspicion := t.ledger.Suspicion(clock.Now(), fingerprint)
 	suspicion.Held = suspicion.Held || suspicion.Ambiguous && t.trials[fingerprint]
-	for _, broken := range t.brokenServers {
-		if broken.wasRunning(fingerprint) && broken.isProbing() {
+	for _, disconnected := range t.disconnectedServers {
+		if disconnected.wasRunning(fingerprint) && disconnected.isProbing() {
 			suspicion = suspicion.WithPossibleEnd()
 		}
 	}
@@ -138,11 +138,11 @@
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	all := t.ledger.Suspicions(clock.Now())
-	for _, broken := range t.brokenServers {
-		if !broken.isProbing() {
+	for _, disconnected := range t.disconnectedServers {
+		if !disconnected.isProbing() {
 			continue
 		}
-		for fingerprint := range broken.requests {
+		for fingerprint := range disconnected.requests {
 			all[fingerprint] = all[fingerprint].WithPossibleEnd()
 		}
 	}
@@ -196,8 +196,8 @@
 	incarnation := t.incarnationAtLocked(server.Incarnation(), request.SentAt)
 	if _, ended := t.ended[incarnation]; ended {
 		t.addEndsLocked(incarnation, map[quarantine.Fingerprint]InFlightRequest{fingerprint: request})
-	} else if broken := t.recordBreakLocked(fingerprint, server, incarnation, request); isReplaced(t.options.Directory.Snapshot(), broken) {
-		t.recordServerEndLocked(broken, evidenceReplaced)
+	} else if disconnected := t.recordBreakLocked(fingerprint, server, incarnation, request); isReplaced(t.options.Directory.Snapshot(), disconnected) {
+		t.recordServerEndLocked(disconnected, evidenceReplaced)
 	}
 	t.updateLocked()
 	probing := t.suspicionLocked(fingerprint).ProbePending
@@ -213,10 +213,10 @@
 // did not crash the server, and that the server had not ended at sentAt.
 func (t *Tracker) RecordResponse(fingerprint quarantine.Fingerprint, server directory.Incarnation, sentAt time.Time) {
 	t.mutex.Lock()
-	broken := t.brokenServers[t.incarnationAtLocked(server, sentAt)]
-	alive := broken != nil && sentAt.After(broken.firstBreakAt)
+	disconnected := t.disconnectedServers[t.incarnationAtLocked(server, sentAt)]
+	alive := disconnected != nil && sentAt.After(disconnected.firstBreakAt)
 	if alive {
-		t.stopWatchingLocked(broken)
+		t.stopWatchingLocked(disconnected)
 	}
 	changed := t.clearLocked(fingerprint) || alive
 	if changed {
@@ -230,9 +230,9 @@
 
 // clearLocked forgets everything known against a request.
 func (t *Tracker) clearLocked(fingerprint quarantine.Fingerprint) (changed bool) {
-	for _, broken := range t.brokenServers {
-		if broken.wasRunning(fingerprint) {
-			delete(broken.requests, fingerprint)
+	for _, disconnected := range t.disconnectedServers {
+		if disconnected.wasRunning(fingerprint) {
+			delete(disconnected.requests, fingerprint)
 			changed = true
 		}
 	}
@@ -307,7 +307,7 @@
 			t.logHeld(t.ledger.Case(fingerprint))
 		}
 	}
-	t.active.Store(t.ledger.Len() > 0 || len(t.brokenServers) > 0 || len(t.ended) > 0)
+	t.active.Store(t.ledger.Len() > 0 || len(t.disconnectedServers) > 0 || len(t.ended) > 0)
 }
 
 func (t *Tracker) logHeld(known quarantine.Case) {
@@ -349,8 +349,8 @@
 	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
 	for {
-		for _, broken := range t.takeUnprobed() {
-			background.Go(func() { t.probe(ctx, broken) })
+		for _, disconnected := range t.takeUnprobed() {
+			background.Go(func() { t.probeTwice(ctx, disconnected) })
 		}
 		select {
 		case <-ctx.Done():
--- a/internal/election/machine.go
+++ b/internal/election/machine.go
@@ -67,9 +67,9 @@
 	// Contested is set if the predecessor may still run and act on the lease: it did not release it, and no
 	// later process of its node has answered.
 	Contested bool
-	// Yielded is where to request the predecessor's handover; zero unless that process yielded or released the
-	// lease.
-	Yielded YieldedLease
+	// HandoverFrom is the predecessor's lease, whose handover can be requested; zero unless that process yielded
+	// or released the lease.
+	HandoverFrom FormerLease
 }
 
 // SettledAt returns the time from which actions of the predecessor can no longer conflict with those of
@@ -82,8 +82,8 @@
 	return l.ClaimedAt
 }
 
-// YieldedLease identifies a lease that its holder gave up.
-type YieldedLease struct {
+// FormerLease identifies a lease that its holder yielded or released.
+type FormerLease struct {
 	// Address is where the former holder answers.
 	Address string
 	Epoch   int64
@@ -112,20 +112,20 @@
 	renewedAt    time.Time
 	ownLease     Lease
 	resigning    bool
-	// holderAddress is where the holder answers; holderAsksPredecessor is set if the holder requests a handover from its
-	// predecessor.
-	holderAddress         string
-	holderAsksPredecessor bool
+	// holderAddress is where the holder answers; holderRequestsHandover is set if the holder requests a handover
+	// from its predecessor.
+	holderAddress          string
+	holderRequestsHandover bool
 	// holderEnded is set if the holder's process appears to have ended, endConfirmed if a later process of its
 	// node answered or the holder yielded.
 	holderEnded, endConfirmed bool
 	hasPredecessor, contested bool
 	// unanswered counts consecutive unanswered probes of the holder.
 	unanswered int
-	// holderYielded is set if the holder has yielded; predecessorLease is the lease that the predecessor gave
-	// up.
-	holderYielded    bool
-	predecessorLease YieldedLease
+	// holderYielded is set if the holder has yielded; handoverFrom is the lease that the predecessor yielded or
+	// released.
+	holderYielded bool
+	handoverFrom  FormerLease
 	// yieldedEpoch is the epoch of the lease that this process has yielded; 0 for none.
 	yieldedEpoch int64
 	// caughtUp is set once the log has been read to its end. The age of the renewals before that is unknown.
@@ -173,21 +173,21 @@
 // NextOffset returns the offset of the next record to read.
 func (m *Machine) NextOffset() int64 { return m.end }
 
-// Holder returns the node that holds the lease, according to the records read so far.
+// Holder returns the name of the process that holds the lease, according to the records read so far.
 func (m *Machine) Holder() string { return m.holder }
 
-// State is a node's role in the election.
+// State is a process's role in the election.
 type State struct {
 	Lease Lease
 	// Held is set while the lease is in force.
 	Held bool
-	// Leading is set if this node's claim is the last one read, even if its lease may have expired.
+	// Leading is set if this process's claim is the last one read and was not yielded, even if its lease may have expired.
 	Leading bool
 	// Coordinator is the address of the holder if that is another process not believed to have ended; otherwise
 	// it is empty.
 	Coordinator string
-	// CoordinatorAsksPredecessor is set if the coordinator requests a handover from its predecessor.
-	CoordinatorAsksPredecessor bool
+	// CoordinatorRequestsHandover is set if the coordinator requests a handover from its predecessor.
+	CoordinatorRequestsHandover bool
 	// Established is set if the holder is another process that held the lease before this process started and
 	// has renewed it since: the fleet was already running.
 	Established bool
@@ -198,11 +198,11 @@
 	ReadAt, ReadableSince time.Time
 }
 
-// State returns this node's role in the election.
+// State returns this process's role in the election.
 func (m *Machine) State(now time.Time) State {
 	lease, held := m.Held(now)
 	leading := m.holder == m.self && lease.Epoch == m.epoch && !lease.ClaimedAt.IsZero() && m.yieldedEpoch != m.epoch
-	return State{Lease: lease, Held: held, Leading: leading, Coordinator: m.coordinator(), CoordinatorAsksPredecessor: m.holderAsksPredecessor, Established: m.established(), Announcement: m.received,
+	return State{Lease: lease, Held: held, Leading: leading, Coordinator: m.coordinator(), CoordinatorRequestsHandover: m.holderRequestsHandover, Established: m.established(), Announcement: m.received,
 		ReadAt: m.readAt, ReadableSince: m.readableSince}
 }
 
@@ -218,7 +218,7 @@
 	return m.claimedBeforeCaughtUp && m.renewedSinceCaughtUp && m.coordinator() != ""
 }
 
-// Held returns this node's lease and whether it is in force.
+// Held returns this process's lease and whether it is in force.
 func (m *Machine) Held(now time.Time) (Lease, bool) {
 	held := m.holder == m.self && m.ownLease.Epoch == m.epoch && m.yieldedEpoch != m.epoch && now.Before(m.ownLease.ExpiresAt)
 	return m.ownLease, held
@@ -235,15 +235,15 @@
 	case kindClaim:
 		m.hasPredecessor = m.epoch != 0
 		m.contested = m.holder != "" && !m.endConfirmed
-		m.predecessorLease = YieldedLease{}
+		m.handoverFrom = FormerLease{}
 		if m.holderYielded || !m.releasedAt.IsZero() {
-			m.predecessorLease = YieldedLease{Address: m.holderAddress, Epoch: m.epoch}
+			m.handoverFrom = FormerLease{Address: m.holderAddress, Epoch: m.epoch}
 		}
 		m.clearSuspicion()
 		m.releasedAt, m.claimableSince = time.Time{}, time.Time{}
 		m.predecessor, m.predecessorAddress = m.holder, m.holderAddress
 		m.holder = record.Holder
-		m.holderAddress, m.holderAsksPredecessor = record.Address, record.Asks
+		m.holderAddress, m.holderRequestsHandover = record.Address, record.Asks
 		m.renewedSinceCaughtUp = m.caughtUp
 		m.claimedBeforeCaughtUp = !m.caughtUp
 		m.epoch = offset + 1
@@ -279,7 +279,7 @@
 // HandleTrimmed continues at the first retained record.
 func (m *Machine) HandleTrimmed(first int64) { m.end = max(m.end, first) }
 
-// Resign makes the machine release the lease and never claim it again.
+// Resign makes the machine release the lease and never claim it again, because the process ends.
 func (m *Machine) Resign() { m.resigning = true }
 
 // Tick returns the record to append now, or nil. The log must have been read to its end.
@@ -317,7 +317,8 @@
 }
 
 // Suspect returns the holder to probe: another process that has not renewed for longer than SuspectAfter,
-// or not at all since this process started. The log must have been read to its end.
+// or not at all since this process started. The log must have been read to its end, which this also records
+// in caughtUp.
 func (m *Machine) Suspect(now time.Time) (holder, address string, suspect bool) {
 	m.caughtUp = true
 	if m.resigning || m.holder == "" || m.holder == m.self || m.holderAddress == "" || m.holderEnded {
@@ -428,7 +429,7 @@
 		return
 	}
 	if m.ownLease.Epoch != m.epoch || m.ownLease.ClaimedAt.IsZero() {
-		m.ownLease = Lease{Epoch: m.epoch, ClaimedAt: now, HasPredecessor: m.hasPredecessor, Contested: m.contested, Yielded: m.predecessorLease}
+		m.ownLease = Lease{Epoch: m.epoch, ClaimedAt: now, HasPredecessor: m.hasPredecessor, Contested: m.contested, HandoverFrom: m.handoverFrom}
 	}
 	if appended.announcement != nil {
 		m.announcedNext = appended.announcement.Next
--- a/internal/election/machine_test.go
+++ b/internal/election/machine_test.go
@@ -288,7 +288,7 @@
 	c.machines[1].HandleVerdict("node-0", liveness.Yielded)
 	c.step(c.machines[1])
 	lease, held := c.machines[1].Held(c.now)
-	if !held || lease.Contested || lease.Yielded != (YieldedLease{Address: "address-0", Epoch: epoch}) {
+	if !held || lease.Contested || lease.HandoverFrom != (FormerLease{Address: "address-0", Epoch: epoch}) {
 		t.Errorf("held %v, %+v", held, lease)
 	}
 	c.step(c.machines[0])
--- a/internal/frontend/election.go
+++ b/internal/frontend/election.go
@@ -10,21 +10,32 @@
 	"dalehook/internal/liveness"
 )
 
-// Timing of the coordinator's lease. Each node suspects the holder after a different time, spread
-// by a hash of its name, so that not all of them probe it at once.
+// Timing of the coordinator's lease.
 const (
-	leaseTTL           = 2500 * time.Millisecond
-	leaseSilentTTL     = 1400 * time.Millisecond
-	leaseRenewal       = 500 * time.Millisecond
-	leaseMargin        = 200 * time.Millisecond
+	// leaseTTL is how long after the last renewal any process may claim the lease. A longer one leaves
+	// the fleet without a coordinator for longer after the loss of a machine; a shorter one costs the
+	// holder its lease while the store is slow.
+	leaseTTL = 2500 * time.Millisecond
+	// leaseUnresponsiveTTL replaces leaseTTL for a holder whose node repeatedly failed to answer a probe:
+	// that node has probably ended, so its successor need not wait for the whole TTL.
+	leaseUnresponsiveTTL = 1400 * time.Millisecond
+	// leaseRenewInterval is the time between two renewals. Each renewal wakes all nodes; with a longer
+	// interval, fewer failed renewals fit into the TTL.
+	leaseRenewInterval = 500 * time.Millisecond
+	// leaseSafetyMargin is how long before the TTL the holder itself treats its lease as expired, so that
+	// its last order is sent before a successor claims the lease.
+	leaseSafetyMargin = 200 * time.Millisecond
+	// Each node probes the holder after a different time without a renewal, leaseSuspectAfter and up to
+	// leaseSuspectSpread more by a hash of its name, so that not all of them probe it at once. A holder that
+	// renews in time, every leaseRenewInterval, is not suspected.
 	leaseSuspectAfter  = 600 * time.Millisecond
 	leaseSuspectSpread = 300 * time.Millisecond
 	// coordinatorProcessorShare is the share of a core that the coordinator of a large fleet needs.
-	// Nodes with less wait up to maxLeaseHandicap longer before they claim the lease: a node with a
+	// Nodes with less wait up to maxLeaseClaimDelay longer before they claim the lease: a node with a
 	// fifth of a core falls behind the events of some hundred runs, so it must wait longer than the
 	// oldest process waits for younger ones.
 	coordinatorProcessorShare = 0.5
-	maxLeaseHandicap          = 800 * time.Millisecond
+	maxLeaseClaimDelay        = 800 * time.Millisecond
 )
 
 // leaseTiming returns a node's timing in the election.
@@ -35,13 +46,13 @@
 		shortfall = max(1-settings.ProcessorShare/coordinatorProcessorShare, 0)
 	}
 	return election.Timing{
-		TTL: leaseTTL, UnresponsiveTTL: leaseSilentTTL, RenewInterval: leaseRenewal, SafetyMargin: leaseMargin,
+		TTL: leaseTTL, UnresponsiveTTL: leaseUnresponsiveTTL, RenewInterval: leaseRenewInterval, SafetyMargin: leaseSafetyMargin,
 		SuspectAfter: leaseSuspectAfter + time.Duration(spread*float64(leaseSuspectSpread)),
-		ClaimDelay:   time.Duration(shortfall * float64(maxLeaseHandicap)),
+		ClaimDelay:   time.Duration(shortfall * float64(maxLeaseClaimDelay)),
 	}
 }
 
-// observeLease handles a change of this node's standing in the election.
+// observeLease handles a change of this node's state in the election.
 func (n *Node) observeLease(state election.State) {
 	n.jobReader.observeCoordinator(state.Leading, state.Coordinator)
 	n.electionState.Store(&state)
@@ -59,7 +70,7 @@
 
 // Yield implements liveness.Holder.
 func (n *Node) Yield(epoch int64) bool {
-	if !n.leaseHold.Yield(epoch) {
+	if !n.leaseYielder.Yield(epoch) {
 		return false
 	}
 	n.coordinator.Yield(epoch)
--- a/internal/frontend/election_test.go
+++ b/internal/frontend/election_test.go
@@ -12,16 +12,16 @@
 // A coordinator on a fifth of a core falls behind the events of some hundred runs, so such a node
 // must claim a lease later than any node with enough processor time, even the oldest.
 func TestSmallNodesYieldTheLeaseToLargerOnes(t *testing.T) {
-	handicap := func(share float64) time.Duration {
+	claimDelay := func(share float64) time.Duration {
 		return leaseTiming(&Settings{Node: "n", ProcessorShare: share}).ClaimDelay
 	}
 	for _, strong := range []float64{0, 0.5, 0.8, 4} {
-		if got := handicap(strong); got != 0 {
+		if got := claimDelay(strong); got != 0 {
 			t.Errorf("share %v: handicap %v", strong, got)
 		}
 	}
 	for _, weak := range []float64{0.05, 0.12, 0.2} {
-		if got := handicap(weak); got <= maxClaimDelay {
+		if got := claimDelay(weak); got <= maxClaimDelay {
 			t.Errorf("share %v: handicap %v", weak, got)
 		}
 	}
--- a/internal/frontend/fleet_test.go
+++ b/internal/frontend/fleet_test.go
@@ -212,19 +212,19 @@
 func (n *fleetNode) observe(state election.State) {
 	n.peers.Note(state.Coordinator)
 	if n.guide != nil {
-		n.guide.Observe(fanoutReport(state, true))
+		n.guide.Observe(fanoutObservation(state, true))
 	}
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	n.held = state.Held
 }
 
-// news corresponds to Node.operatorNews in a large fleet.
-func (n *fleetNode) news() *election.Announcement {
+// announcement corresponds to Node.operatorAnnouncement in a large fleet.
+func (n *fleetNode) announcement() *election.Announcement {
 	if n.cache == nil {
 		return nil
 	}
-	return newsFrom(n.cache)
+	return announcementOf(n.cache)
 }
 
 func (n *fleetNode) receive(records []store.Record) {
@@ -291,7 +291,7 @@
 		defer f.running.Done()
 		election.Run(ctx, election.Options{
 			Log: log, Self: name, Address: name, Timing: leaseTiming(settings), Yielder: &node.yielder, Logger: zap.NewNop(),
-			Observe: node.observe, Resign: make(chan struct{}), Probe: f.probeFunc(name), Announcement: node.news,
+			Observe: node.observe, Resign: make(chan struct{}), Probe: f.probeFunc(name), Announcement: node.announcement,
 		})
 	}()
 	go func() {
--- a/internal/frontend/jobreads.go
+++ b/internal/frontend/jobreads.go
@@ -45,10 +45,10 @@
 	// maxPageBytes limits the texts in one answer of the coordinator, which is also the page size
 	// that callers see.
 	maxPageBytes = 700 << 10
-	// takeoverTimeout is how long there must be no coordinator before a node searches whole
+	// noCoordinatorTimeout is how long there must be no coordinator before a node searches whole
 	// partitions for jobs that aren't in the index. With a shorter time, hundreds of nodes would
 	// read the same partitions at once as the next coordinator.
-	takeoverTimeout = 4 * time.Second
+	noCoordinatorTimeout = 4 * time.Second
 )
 
 // jobReader answers reads of batch jobs: from local records, else from the coordinator, which
@@ -129,11 +129,11 @@
 }
 
 // mayReadWholePartition reports whether this node searches a whole partition for a job that isn't
-// in the index: as the coordinator, or if there has been none for takeoverTimeout.
+// in the index: as the coordinator, or if there has been none for noCoordinatorTimeout.
 func (r *jobReader) mayReadWholePartition() bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return r.leading || clock.Since(r.seenAt) > takeoverTimeout
+	return r.leading || clock.Since(r.seenAt) > noCoordinatorTimeout
 }
 
 // callCoordinator calls the coordinator at an address and records whether it answered.
--- a/internal/frontend/jobreads_absent_test.go
+++ b/internal/frontend/jobreads_absent_test.go
@@ -43,7 +43,7 @@
 		node := newReaderNode(t, memory)
 		node.observeCoordinator(false, serve(t, coordinator))
 		alone := newReaderNode(t, memory)
-		alone.seenAt = time.Now().Add(-takeoverTimeout)
+		alone.seenAt = time.Now().Add(-noCoordinatorTimeout)
 		for name, reader := range map[string]*readerNode{"coordinator": coordinator, "node": node, "alone": alone} {
 			t.Run(name, func(t *testing.T) { checkNotReportedAbsent(t, reader, "dropped", "dropped-0") })
 		}
--- a/internal/frontend/jobreads_bench_test.go
+++ b/internal/frontend/jobreads_bench_test.go
@@ -91,7 +91,7 @@
 		case "coordinator":
 			node.observeCoordinator(false, address)
 		case "partition":
-			node.seenAt = time.Now().Add(-takeoverTimeout)
+			node.seenAt = time.Now().Add(-noCoordinatorTimeout)
 		}
 		before = log.bytes.Load()
 		if source == "partition" {
--- a/internal/frontend/jobreads_test.go
+++ b/internal/frontend/jobreads_test.go
@@ -171,7 +171,7 @@
 	if _, _, verdict := node.results(context.Background(), batch.JobKey{ID: "job"}, 0, 0); verdict != VerdictRefused {
 		t.Errorf("during a possible takeover: %v", verdict)
 	}
-	node.seenAt = time.Now().Add(-takeoverTimeout)
+	node.seenAt = time.Now().Add(-noCoordinatorTimeout)
 	if _, results, verdict := node.results(context.Background(), batch.JobKey{ID: "job"}, 0, 0); verdict != VerdictDone || len(results) != 1 {
 		t.Errorf("without a coordinator: %v, %d results", verdict, len(results))
 	}
@@ -187,7 +187,7 @@
 	follower := newReaderNode(t, memory)
 	node := newReaderNode(t, memory)
 	node.observeCoordinator(false, serve(t, follower))
-	node.failedAt = time.Now().Add(-2 * takeoverTimeout)
+	node.failedAt = time.Now().Add(-2 * noCoordinatorTimeout)
 	node.seenAt = node.failedAt
 	if _, _, verdict := node.results(context.Background(), batch.JobKey{ID: "job"}, 0, 0); verdict != VerdictRefused {
 		t.Errorf("%v", verdict)
--- a/internal/frontend/metrics.go
+++ b/internal/frontend/metrics.go
@@ -188,9 +188,9 @@
 func (m *nodeMetrics) ObserveResult(outcome string) { m.results.WithLabelValues(outcome).Inc() }
 
 // ObserveLoad implements coordinator.Observer.
-func (m *nodeMetrics) ObserveLoad(taken bool) {
+func (m *nodeMetrics) ObserveLoad(loaded bool) {
 	outcome := "failed"
-	if taken {
+	if loaded {
 		outcome = "loaded"
 	}
 	m.loads.WithLabelValues(outcome).Inc()
--- a/internal/frontend/node.go
+++ b/internal/frontend/node.go
@@ -141,8 +141,8 @@
 	jobs         *joblog.Logs
 	jobReader    *jobReader
 	coordinator  *coordinator.Coordinator
-	// leaseHold is the state of the lease while this process holds it.
-	leaseHold election.Yielder
+	// leaseYielder decides whether this process yields its lease when another node asks for it.
+	leaseYielder election.Yielder
 	// peers are the last known coordinators, and the nodes that last asked this one whether it
 	// holds the lease.
 	peers storeproxy.Peers
@@ -165,7 +165,7 @@
 	n.zones = evacuatedZones{directory: n.directory, onChange: n.notifyServersChanged, logger: n.logger}
 	n.gateway = gateway.NewGateway(gateway.Options{
 		Backend: adapter.Backend(), Directory: n.directory, Node: options.Settings.Node, Zone: options.Settings.Zone, CrashTracker: n.crashTracker,
-		Logger: logger.Named("gateway"), Observe: n.metrics.observeRequest, OnStarted: n.countStarted,
+		Logger: logger.Named("gateway"), Observe: n.metrics.observeRequest, OnMayHaveStarted: n.countStarted,
 	})
 	adapter.ObserveStore(n.observeStore)
 	n.jobs = joblog.NewLogs(joblog.Options{
@@ -251,8 +251,8 @@
 	background.Go(func() {
 		election.Run(ctx, election.Options{
 			Log: log, Self: n.processID(), Address: n.options.Settings.Listen.Internal, Timing: leaseTiming(n.options.Settings), Probe: n.probeHolder,
-			Yielder: &n.leaseHold,
-			Logger:  n.options.Logger.Named("election"), Observe: n.observeLease, Resign: n.leave, Announcement: n.operatorNews,
+			Yielder: &n.leaseYielder,
+			Logger:  n.options.Logger.Named("election"), Observe: n.observeLease, Resign: n.leave, Announcement: n.operatorAnnouncement,
 		})
 	})
 	background.Go(func() { n.cleanUp(ctx) })
--- a/internal/frontend/operatorfollow.go
+++ b/internal/frontend/operatorfollow.go
@@ -34,17 +34,17 @@
 	})
 }
 
-// operatorNews returns what this node announces while it is the coordinator. It is nil in a small
+// operatorAnnouncement returns what this node announces while it is the coordinator. It is nil in a small
 // fleet, whose nodes learn of changes sooner by their own reads, and with fail_closed, since keys
 // would go stale and be refused while the coordinator is replaced.
-func (n *Node) operatorNews() *election.Announcement {
+func (n *Node) operatorAnnouncement() *election.Announcement {
 	if !n.servers.LargeFleet() || n.options.Settings.Access.FailClosed {
 		return nil
 	}
-	return newsFrom(n.operatorCache)
+	return announcementOf(n.operatorCache)
 }
 
-func newsFrom(cache *fanout.Cache) *election.Announcement {
+func announcementOf(cache *fanout.Cache) *election.Announcement {
 	state, ok := cache.State()
 	if !ok {
 		return nil
@@ -54,12 +54,12 @@
 
 // updateOperatorGuide passes the coordinator's announcement to the guide.
 func (n *Node) updateOperatorGuide(state election.State) {
-	n.operatorGuide.Observe(fanoutReport(state, n.servers.LargeFleet()))
+	n.operatorGuide.Observe(fanoutObservation(state, n.servers.LargeFleet()))
 }
 
-// fanoutReport returns what a node knows of the coordinator's announcements; large is true for a
+// fanoutObservation returns what a node knows of the coordinator's announcements; large is true for a
 // large fleet.
-func fanoutReport(state election.State, large bool) fanout.Observation {
+func fanoutObservation(state election.State, large bool) fanout.Observation {
 	observation := fanout.Observation{Announces: state.Leading && large, ReadAt: state.ReadAt, ReadableSince: state.ReadableSince}
 	if announced := state.Announcement; announced != nil && !state.Leading {
 		observation.Announcement = &fanout.Announcement{
--- a/internal/frontend/operatorfollow_test.go
+++ b/internal/frontend/operatorfollow_test.go
@@ -37,12 +37,12 @@
 				n.operatorCache.Update([]store.Record{{Offset: 6, Key: "config", Value: make([]byte, fanout.LargeBytes)}}, true, 7)
 				n.operatorCache.MarkUpToDate(clock.Now())
 			}
-			news := n.operatorNews()
-			if (news != nil) != c.tells {
-				t.Fatalf("%+v", news)
+			announcement := n.operatorAnnouncement()
+			if (announcement != nil) != c.tells {
+				t.Fatalf("%+v", announcement)
 			}
-			if news != nil && (news.Next != 7 || news.Large != 7 || news.AgeMs < 1) {
-				t.Errorf("%+v", news)
+			if announcement != nil && (announcement.Next != 7 || announcement.Large != 7 || announcement.AgeMs < 1) {
+				t.Errorf("%+v", announcement)
 			}
 		})
 	}
--- a/internal/frontend/rewards.go
+++ b/internal/frontend/rewards.go
@@ -21,10 +21,10 @@
 
 var _ coordinator.Rewards = (*rewardCaller)(nil)
 
-// Score implements coordinator.Rewards.
+// Score implements coordinator.Rewards. The score of an item is the signature of the response.
 func (r *rewardCaller) Score(ctx context.Context, send reward.Send) reward.Answer {
 	began := clock.Now()
-	result := r.gateway.Call(ctx, gateway.Call{
+	result := r.gateway.SendInternal(ctx, gateway.InternalRequest{
 		Request: &gateway.Request{
 			ID: send.Call.ID, Method: http.MethodPost, Target: send.Call.Path, Host: send.Call.Host,
 			Header: make(http.Header), Body: send.Call.Body, Received: began, Deadline: send.Deadline,
--- a/internal/frontend/usage.go
+++ b/internal/frontend/usage.go
@@ -41,7 +41,7 @@
 
 func seconds(value float64) time.Duration { return time.Duration(value * float64(time.Second)) }
 
-// countStarted counts a request of a tenant that has started to run at a server.
+// countStarted counts a request of a tenant that a server has started to run, or may have.
 func (n *Node) countStarted(tenantName string, at time.Time) {
 	if n.usageSender != nil && tenantName != "" {
 		n.usageSender.Count(tenantName, at)
@@ -70,5 +70,5 @@
 func (n *Node) mayAct(now time.Time, state election.State) bool {
 	pause := time.Duration(n.options.Settings.OrderPauseMs) * time.Millisecond
 	settled := state.Lease.SettledAt(pause, n.options.Settings.FencingEnforced)
-	return state.Held && now.Before(state.Lease.ExpiresAt) && !now.Before(settled) && !n.leaseHold.HasYielded(state.Lease.Epoch)
+	return state.Held && now.Before(state.Lease.ExpiresAt) && !now.Before(settled) && !n.leaseYielder.HasYielded(state.Lease.Epoch)
 }
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -40,13 +40,14 @@
 	c.reportToTracker(server, start, breakErr, false, result.completed())
 	c.endTrial()
 	if result.mayHaveStarted() {
-		c.gateway.options.OnStarted(c.request.Caller.Tenant, start)
+		c.gateway.options.OnMayHaveStarted(c.request.Caller.Tenant, start)
 	}
 	return result
 }
 
 // completed reports whether a server ran the request to completion and returned the whole response.
-// A 504 does not count: the run was cut by its time limit, so its outcome is unknown.
+// A 504 does not count: the run was cut by its time limit, so its outcome is unknown. Neither does a
+// 503, with which a server refuses a request.
 func (a *attemptResult) completed() bool {
 	return a.sendErr == nil && a.complete && !a.response.NotExecuted &&
 		a.response.Status != http.StatusServiceUnavailable && a.response.Status != http.StatusGatewayTimeout
--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -9,37 +9,38 @@
 	"dalehook/internal/routetable"
 )
 
-// Call is a request that originates in the product itself. It may run more than once.
-type Call struct {
+// InternalRequest is a request that this system makes itself, such as a reward call. It may run more
+// than once.
+type InternalRequest struct {
 	Request *Request
 	Table   *routetable.Table
 	Route   *routetable.Route
-	// Service is the route target that the call is sent to.
+	// Service is the route target that the request is sent to.
 	Service string
 }
 
-// CallResult is the outcome of a call.
-type CallResult struct {
+// InternalResult is the outcome of an InternalRequest.
+type InternalResult struct {
 	// Signature is that of a complete successful response; empty if there was none.
 	Signature string
 	// Failures is the number of servers that answered with status 500.
 	Failures int
 	// Servers holds the ids of the servers tried, in order.
 	Servers []string
-	// Reason says why the call did not succeed.
+	// Reason says why the request did not succeed.
 	Reason string
 }
 
-// Call sends a request with the same server selection, hedging and retries as requests of callers,
+// SendInternal sends a request with the same server selection, hedging and retries as requests of callers,
 // but bounded by the request's deadline alone.
-func (g *Gateway) Call(ctx context.Context, spec Call) CallResult {
+func (g *Gateway) SendInternal(ctx context.Context, spec InternalRequest) InternalResult {
 	c := &call{
 		gateway: g, request: spec.Request, route: spec.Route, table: spec.Table, service: spec.Service,
 		deadline: spec.Request.Deadline, tried: make(map[directory.Incarnation]bool), notExecuted: true, repeatable: true,
 	}
 	ctx, cancel := context.WithTimeout(ctx, clock.Until(c.deadline))
 	defer cancel()
-	result := CallResult{}
+	result := InternalResult{}
 	final, ok := c.awaitResponse(ctx)
 	if ok {
 		defer final.close()
--- a/internal/gateway/call_test.go
+++ b/internal/gateway/call_test.go
@@ -30,7 +30,7 @@
 }
 
 // callServers makes a call with four servers; the responses are used in turn.
-func callServers(t *testing.T, kind routetable.Kind, responses ...responseFunc) (CallResult, *scriptedBackend) {
+func callServers(t *testing.T, kind routetable.Kind, responses ...responseFunc) (InternalResult, *scriptedBackend) {
 	t.Helper()
 	backend := &scriptedBackend{responses: responses}
 	list := directory.NewDirectory()
@@ -40,7 +40,7 @@
 	}
 	gateway := NewGateway(Options{Backend: backend, Directory: list, Zone: "z", Logger: zap.NewNop()})
 	route := &routetable.Route{Kind: kind, MaxAttempts: 4, LatencyTarget: 50 * time.Millisecond}
-	result := gateway.Call(context.Background(), Call{
+	result := gateway.SendInternal(context.Background(), InternalRequest{
 		Request: &Request{ID: "id", Method: http.MethodPost, Target: "/p", Received: time.Now(), Deadline: time.Now().Add(400 * time.Millisecond)},
 		Route:   route, Service: "svc",
 	})
@@ -104,7 +104,7 @@
 		respondSigned(200, "ok"),
 	}}
 	gateway := NewGateway(Options{Backend: backend, Directory: list, Zone: "z", Logger: zap.NewNop()})
-	result := gateway.Call(context.Background(), Call{
+	result := gateway.SendInternal(context.Background(), InternalRequest{
 		Request: &Request{ID: "id", Method: http.MethodPost, Target: "/p", Received: time.Now(), Deadline: time.Now().Add(time.Second)},
 		Route:   &routetable.Route{MaxAttempts: 4}, Service: "svc",
 	})
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -31,8 +31,9 @@
 	Logger       *zap.Logger
 	// Observe is called with the outcome of each request.
 	Observe func(Outcome)
-	// OnStarted is called when a server starts to execute a request, with its tenant and the time.
-	OnStarted func(tenantName string, at time.Time)
+	// OnMayHaveStarted is called for each attempt that a server executed or may have executed, with the
+	// request's tenant and the time.
+	OnMayHaveStarted func(tenantName string, at time.Time)
 }
 
 // Outcome describes how a request ended, for metrics.
@@ -56,8 +57,8 @@
 	if options.Observe == nil {
 		options.Observe = func(Outcome) {}
 	}
-	if options.OnStarted == nil {
-		options.OnStarted = func(string, time.Time) {}
+	if options.OnMayHaveStarted == nil {
+		options.OnMayHaveStarted = func(string, time.Time) {}
 	}
 	if options.CrashTracker == nil {
 		options.CrashTracker = crashwatch.NewTracker(crashwatch.Options{})
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -72,7 +72,7 @@
 		return false, 0
 	}
 	c.notExecuted = false
-	c.gateway.options.OnStarted(c.request.Caller.Tenant, clock.Now())
+	c.gateway.options.OnMayHaveStarted(c.request.Caller.Tenant, clock.Now())
 	if response.Status != http.StatusOK {
 		return r.forwardFailure(response)
 	}
--- a/internal/gateway/suspicion.go
+++ b/internal/gateway/suspicion.go
@@ -76,7 +76,7 @@
 
 // reportToTracker reports the end of an attempt to the tracker. breakErr is set if the server, and
 // not this node or the caller, broke the connection after the request had been sent; progressed
-// says that the server had produced events.
+// says that the server had produced events, answered that it returned a complete response.
 func (c *call) reportToTracker(server *directory.Server, start time.Time, breakErr error, progressed, answered bool) {
 	tracker := c.gateway.options.CrashTracker
 	switch {
--- a/internal/gateway/types.go
+++ b/internal/gateway/types.go
@@ -36,7 +36,7 @@
 // Fingerprint identifies the request's content; it is the same for each repetition.
 func (r *Request) Fingerprint() quarantine.Fingerprint {
 	return quarantine.FingerprintOf(quarantine.Identity{
-		Caller: r.Caller.Tenant, Method: r.Method, Host: r.Host, Target: r.Target, Body: r.Body,
+		Tenant: r.Caller.Tenant, Method: r.Method, Host: r.Host, Target: r.Target, Body: r.Body,
 	})
 }
 
--- a/internal/quarantine/fingerprint.go
+++ b/internal/quarantine/fingerprint.go
@@ -1,6 +1,9 @@
 // Package quarantine identifies requests that crash the servers that run them (poison requests,
 // also called queries of death) and keeps them away from servers.
 //
+// An end is the unplanned end of a server's process; a server ends under the requests that it was
+// running.
+//
 // A request is identified by its Fingerprint, however often and at whichever node it arrives. The
 // Ledger is a pure state machine: it records which servers ended under which requests, and decides
 // for each request whether it may run. Package crashwatch drives it.
@@ -20,8 +23,8 @@
 // Identity is what makes two requests equal. It excludes the request id, which differs for each
 // attempt of the caller.
 type Identity struct {
-	// Caller is the tenant on whose behalf the request runs; empty without tenants.
-	Caller string
+	// Tenant is the tenant on whose behalf the request runs; empty without tenants.
+	Tenant string
 	Method string
 	Host   string
 	// Target is the path with the query.
@@ -32,7 +35,7 @@
 // FingerprintOf returns the fingerprint of a request.
 func FingerprintOf(identity Identity) Fingerprint {
 	digest := sha256.New()
-	for _, part := range []string{identity.Caller, identity.Method, identity.Host, identity.Target} {
+	for _, part := range []string{identity.Tenant, identity.Method, identity.Host, identity.Target} {
 		// Length prefixes keep different lists of parts from giving the same input.
 		_, _ = digest.Write(binary.BigEndian.AppendUint64(nil, uint64(len(part))))
 		_, _ = digest.Write([]byte(part))
--- a/internal/quarantine/fingerprint_test.go
+++ b/internal/quarantine/fingerprint_test.go
@@ -3,7 +3,7 @@
 import "testing"
 
 func TestFingerprintDistinguishesRequests(t *testing.T) {
-	request := Identity{Caller: "acme", Method: "POST", Host: "h.example", Target: "/save/1", Body: []byte("body")}
+	request := Identity{Tenant: "acme", Method: "POST", Host: "h.example", Target: "/save/1", Body: []byte("body")}
 	same := FingerprintOf(request)
 	others := map[string]Identity{
 		"caller":            {"other", "POST", "h.example", "/save/1", []byte("body")},
--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/ledger.go
@@ -19,7 +19,8 @@
 	// more sends after the third end; a hold at the third leaves room for sends already in flight.
 	minEndsProven = 3
 	// minEndsProgressed is the number for a request that produced events before a server ended: a
-	// long request may meet several unrelated crashes. It leaves one of the three sends of the requirement.
+	// long request may meet several unrelated crashes. A hold at the fifth end uses two of the three
+	// sends that the requirement allows after the third.
 	minEndsProgressed = 5
 	// minEndsAmbiguous is the number from which on a request is delayed if it shares its ends with
 	// others, so that the cause is ambiguous. It then runs apart from the others, and a single end
@@ -91,10 +92,11 @@
 // several have as many. Any response clears a request, since a request that should be held crashes
 // every server that starts to run it.
 type Ledger struct {
-	// ends holds the ends by request; suspects holds the same ends by server.
-	ends     map[Fingerprint]map[directory.Incarnation]End
-	suspects map[directory.Incarnation]map[Fingerprint]bool
-	count    int
+	// endsByRequest holds the ends by request; requestsByServer holds the requests of the same ends by
+	// server.
+	endsByRequest    map[Fingerprint]map[directory.Incarnation]End
+	requestsByServer map[directory.Incarnation]map[Fingerprint]bool
+	count            int
 	// confirmed are the requests whose proof has stood for a while. It then stands until a response
 	// clears it: later ends of other requests say nothing about the earlier ends.
 	confirmed map[Fingerprint]bool
@@ -108,8 +110,8 @@
 func NewLedger(node string) *Ledger {
 	return &Ledger{
 		node: node, confirmed: make(map[Fingerprint]bool),
-		ends:     make(map[Fingerprint]map[directory.Incarnation]End),
-		suspects: make(map[directory.Incarnation]map[Fingerprint]bool),
+		endsByRequest:    make(map[Fingerprint]map[directory.Incarnation]End),
+		requestsByServer: make(map[directory.Incarnation]map[Fingerprint]bool),
 	}
 }
 
@@ -117,46 +119,46 @@
 func (l *Ledger) Len() int { return l.count }
 
 // HasEnds reports whether an end of any server under the request is recorded.
-func (l *Ledger) HasEnds(fingerprint Fingerprint) bool { return len(l.ends[fingerprint]) > 0 }
+func (l *Ledger) HasEnds(fingerprint Fingerprint) bool { return len(l.endsByRequest[fingerprint]) > 0 }
 
 // Add records an end and returns true. For a known end it keeps the earlier time, as neither is
 // before the actual end, and returns false.
 func (l *Ledger) Add(end End) bool {
-	if known, found := l.ends[end.Fingerprint][end.Server]; found {
+	if known, found := l.endsByRequest[end.Fingerprint][end.Server]; found {
 		if end.At.Before(known.At) {
 			known.At = end.At
-			l.ends[end.Fingerprint][end.Server] = known
+			l.endsByRequest[end.Fingerprint][end.Server] = known
 		}
 		return false
 	}
 	if l.count >= maxEnds {
 		l.evict()
 	}
-	if l.ends[end.Fingerprint] == nil {
-		l.ends[end.Fingerprint] = make(map[directory.Incarnation]End)
+	if l.endsByRequest[end.Fingerprint] == nil {
+		l.endsByRequest[end.Fingerprint] = make(map[directory.Incarnation]End)
 	}
-	l.ends[end.Fingerprint][end.Server] = end
-	if l.suspects[end.Server] == nil {
-		l.suspects[end.Server] = make(map[Fingerprint]bool)
+	l.endsByRequest[end.Fingerprint][end.Server] = end
+	if l.requestsByServer[end.Server] == nil {
+		l.requestsByServer[end.Server] = make(map[Fingerprint]bool)
 	}
-	l.suspects[end.Server][end.Fingerprint] = true
+	l.requestsByServer[end.Server][end.Fingerprint] = true
 	l.count++
 	return true
 }
 
 // Remove removes one end; it returns false if the end is unknown.
 func (l *Ledger) Remove(fingerprint Fingerprint, server directory.Incarnation) bool {
-	if _, found := l.ends[fingerprint][server]; !found {
+	if _, found := l.endsByRequest[fingerprint][server]; !found {
 		return false
 	}
-	delete(l.ends[fingerprint], server)
-	if len(l.ends[fingerprint]) == 0 {
-		delete(l.ends, fingerprint)
+	delete(l.endsByRequest[fingerprint], server)
+	if len(l.endsByRequest[fingerprint]) == 0 {
+		delete(l.endsByRequest, fingerprint)
 		delete(l.confirmed, fingerprint)
 	}
-	delete(l.suspects[server], fingerprint)
-	if len(l.suspects[server]) == 0 {
-		delete(l.suspects, server)
+	delete(l.requestsByServer[server], fingerprint)
+	if len(l.requestsByServer[server]) == 0 {
+		delete(l.requestsByServer, server)
 	}
 	l.count--
 	return true
@@ -166,14 +168,14 @@
 func (l *Ledger) Clear(fingerprint Fingerprint) []End {
 	var cleared []End
 	for _, server := range l.serversOf(fingerprint) {
-		cleared = append(cleared, l.ends[fingerprint][server])
+		cleared = append(cleared, l.endsByRequest[fingerprint][server])
 		l.Remove(fingerprint, server)
 	}
 	return cleared
 }
 
 func (l *Ledger) serversOf(fingerprint Fingerprint) []directory.Incarnation {
-	return slices.SortedFunc(maps.Keys(l.ends[fingerprint]), directory.Incarnation.Compare)
+	return slices.SortedFunc(maps.Keys(l.endsByRequest[fingerprint]), directory.Incarnation.Compare)
 }
 
 // evictDivisor is the inverse of the fraction of requests that are evicted at once, so that sorting
@@ -182,7 +184,7 @@
 
 // evict drops the least suspected requests; on ties, those whose last end is the oldest.
 func (l *Ledger) evict() {
-	ordered := slices.SortedFunc(maps.Keys(l.ends), l.compareSuspicion)
+	ordered := slices.SortedFunc(maps.Keys(l.endsByRequest), l.compareSuspicion)
 	for _, fingerprint := range ordered[:(len(ordered)+evictDivisor-1)/evictDivisor] {
 		l.evicted = append(l.evicted, l.Clear(fingerprint)...)
 	}
@@ -197,7 +199,7 @@
 
 func (l *Ledger) compareSuspicion(a, b Fingerprint) int {
 	return cmp.Or(
-		cmp.Compare(len(l.ends[a]), len(l.ends[b])),
+		cmp.Compare(len(l.endsByRequest[a]), len(l.endsByRequest[b])),
 		l.lastEnd(a).Compare(l.lastEnd(b)),
 		slices.Compare(a[:], b[:]),
 	)
@@ -206,7 +208,7 @@
 // lastEnd returns the time of a request's last end.
 func (l *Ledger) lastEnd(fingerprint Fingerprint) time.Time {
 	var last time.Time
-	for _, end := range l.ends[fingerprint] {
+	for _, end := range l.endsByRequest[fingerprint] {
 		if end.At.After(last) {
 			last = end.At
 		}
@@ -217,8 +219,8 @@
 // EndTime returns the latest time at which a server can have ended; known is false if it ended
 // under no request.
 func (l *Ledger) EndTime(server directory.Incarnation) (at time.Time, known bool) {
-	for fingerprint := range l.suspects[server] {
-		if end := l.ends[fingerprint][server]; !known || end.At.Before(at) {
+	for fingerprint := range l.requestsByServer[server] {
+		if end := l.endsByRequest[fingerprint][server]; !known || end.At.Before(at) {
 			at, known = end.At, true
 		}
 	}
@@ -228,9 +230,9 @@
 // MergeTimes takes over the times of common ends from another ledger of the same node where they
 // are earlier.
 func (l *Ledger) MergeTimes(from *Ledger) {
-	for fingerprint, ends := range l.ends {
+	for fingerprint, ends := range l.endsByRequest {
 		for server := range ends {
-			if known, found := from.ends[fingerprint][server]; found {
+			if known, found := from.endsByRequest[fingerprint][server]; found {
 				l.Add(known)
 			}
 		}
@@ -241,7 +243,7 @@
 func (l *Ledger) Expire(now time.Time) []End {
 	var expired []End
 	maps.DeleteFunc(l.confirmed, func(fingerprint Fingerprint, _ bool) bool { return !l.HasEnds(fingerprint) })
-	for fingerprint := range maps.Clone(l.ends) {
+	for fingerprint := range maps.Clone(l.endsByRequest) {
 		if now.Sub(l.lastEnd(fingerprint)) >= retention {
 			expired = append(expired, l.Clear(fingerprint)...)
 		}
@@ -251,7 +253,7 @@
 
 // Suspicion returns the suspicion of a request at now.
 func (l *Ledger) Suspicion(now time.Time, fingerprint Fingerprint) Suspicion {
-	suspicion := Suspicion{Ends: len(l.ends[fingerprint])}
+	suspicion := Suspicion{Ends: len(l.endsByRequest[fingerprint])}
 	if suspicion.Ends < minEndsProven {
 		return suspicion
 	}
@@ -263,7 +265,7 @@
 
 // isProven reports whether a request is proven to end servers.
 func (l *Ledger) isProven(fingerprint Fingerprint) bool {
-	ends := len(l.ends[fingerprint])
+	ends := len(l.endsByRequest[fingerprint])
 	switch {
 	case ends < minEndsProven:
 		return false
@@ -277,8 +279,8 @@
 
 // hasExclusiveEnd reports whether a server ended that ran no other suspected request.
 func (l *Ledger) hasExclusiveEnd(fingerprint Fingerprint) bool {
-	for server := range l.ends[fingerprint] {
-		if len(l.suspects[server]) == 1 {
+	for server := range l.endsByRequest[fingerprint] {
+		if len(l.requestsByServer[server]) == 1 {
 			return true
 		}
 	}
@@ -302,8 +304,8 @@
 
 // Suspicions returns the suspicions of all requests.
 func (l *Ledger) Suspicions(now time.Time) map[Fingerprint]Suspicion {
-	all := make(map[Fingerprint]Suspicion, len(l.ends))
-	for fingerprint := range l.ends {
+	all := make(map[Fingerprint]Suspicion, len(l.endsByRequest))
+	for fingerprint := range l.endsByRequest {
 		all[fingerprint] = l.Suspicion(now, fingerprint)
 	}
 	return all
@@ -311,7 +313,7 @@
 
 // requiredEnds returns the number of attributed ends from which on a request is held.
 func (l *Ledger) requiredEnds(fingerprint Fingerprint) int {
-	for _, end := range l.ends[fingerprint] {
+	for _, end := range l.endsByRequest[fingerprint] {
 		if end.Progressed {
 			return minEndsProgressed
 		}
@@ -320,12 +322,12 @@
 }
 
 func (l *Ledger) isAmbiguous(fingerprint Fingerprint) bool {
-	return len(l.ends[fingerprint]) >= minEndsAmbiguous && !l.isProven(fingerprint)
+	return len(l.endsByRequest[fingerprint]) >= minEndsAmbiguous && !l.isProven(fingerprint)
 }
 
 // HasAmbiguous reports whether any request is ambiguous, so that suspicions change with time alone.
 func (l *Ledger) HasAmbiguous() bool {
-	for fingerprint := range l.ends {
+	for fingerprint := range l.endsByRequest {
 		if l.isAmbiguous(fingerprint) {
 			return true
 		}
@@ -336,7 +338,7 @@
 // attributedEnds returns the number of ends attributed to a request.
 func (l *Ledger) attributedEnds(fingerprint Fingerprint) int {
 	count := 0
-	for server := range l.ends[fingerprint] {
+	for server := range l.endsByRequest[fingerprint] {
 		if l.isMainSuspect(fingerprint, server) {
 			count++
 		}
@@ -347,11 +349,11 @@
 // isMainSuspect reports whether an end is attributed to a request: every other request that the
 // server was running has fewer ends and is not confirmed.
 func (l *Ledger) isMainSuspect(fingerprint Fingerprint, server directory.Incarnation) bool {
-	for other := range l.suspects[server] {
+	for other := range l.requestsByServer[server] {
 		if other == fingerprint {
 			continue
 		}
-		if l.confirmed[other] || len(l.ends[other]) >= len(l.ends[fingerprint]) {
+		if l.confirmed[other] || len(l.endsByRequest[other]) >= len(l.endsByRequest[fingerprint]) {
 			return false
 		}
 	}
@@ -369,7 +371,7 @@
 // holdDelay returns the delay of an ambiguous request: 0.5 to 1.5 times the mean, by the request
 // and its number of ends, plus up to one mean by the node.
 func (l *Ledger) holdDelay(fingerprint Fingerprint) time.Duration {
-	ends := len(l.ends[fingerprint])
+	ends := len(l.endsByRequest[fingerprint])
 	mean := ambiguousDelay << min(ends-minEndsAmbiguous, maxDelayDoublings)
 	key := fingerprint.String() + strconv.Itoa(ends)
 	return time.Duration((0.5 + hashFraction(key, "") + hashFraction(key, l.node)) * float64(mean))
@@ -392,7 +394,7 @@
 // Cases returns the requests under which servers ended, the most suspected first.
 func (l *Ledger) Cases() []Case {
 	var cases []Case
-	for _, fingerprint := range slices.SortedFunc(maps.Keys(l.ends), func(a, b Fingerprint) int { return l.compareSuspicion(b, a) }) {
+	for _, fingerprint := range slices.SortedFunc(maps.Keys(l.endsByRequest), func(a, b Fingerprint) int { return l.compareSuspicion(b, a) }) {
 		cases = append(cases, l.Case(fingerprint))
 	}
 	return cases
@@ -402,7 +404,7 @@
 func (l *Ledger) Case(fingerprint Fingerprint) Case {
 	result := Case{Fingerprint: fingerprint, Held: l.isProven(fingerprint)}
 	for _, server := range l.serversOf(fingerprint) {
-		result.Ends = append(result.Ends, l.ends[fingerprint][server])
+		result.Ends = append(result.Ends, l.endsByRequest[fingerprint][server])
 	}
 	slices.SortStableFunc(result.Ends, func(a, b End) int { return a.At.Compare(b.At) })
 	return result
@@ -411,7 +413,7 @@
 // ProvenRequests returns the requests that are held until their ends expire.
 func (l *Ledger) ProvenRequests() []Fingerprint {
 	var proven []Fingerprint
-	for fingerprint, ends := range l.ends {
+	for fingerprint, ends := range l.endsByRequest {
 		if len(ends) >= minEndsProven && l.isProven(fingerprint) {
 			proven = append(proven, fingerprint)
 		}
--- a/internal/scheduler/assign.go
+++ b/internal/scheduler/assign.go
@@ -7,7 +7,7 @@
 
 // schedule starts waiting items, sends reward calls and orders weight loads.
 func (m *Machine) schedule(now time.Time) {
-	if m.resigned {
+	if m.stopped {
 		return
 	}
 	m.startWaiting(now)
@@ -17,7 +17,7 @@
 
 // startWaiting starts waiting items, job by job in order of arrival.
 func (m *Machine) startWaiting(now time.Time) {
-	if m.resigned {
+	if m.stopped {
 		return
 	}
 	engines := m.sortedEngines()
--- a/internal/scheduler/attempts.go
+++ b/internal/scheduler/attempts.go
@@ -65,7 +65,7 @@
 func (a *attempt) observe(now time.Time) {
 	a.events++
 	a.lastEventAt = now
-	a.excusedPause = 0
+	a.excusedStall = 0
 	a.engine.unresponsiveAt = time.Time{}
 	if a.sampleStart.IsZero() {
 		a.sampleStart = now
@@ -206,16 +206,16 @@
 	return a.lastEventAt
 }
 
-// HandleProcessPause excuses a pause of this process: events that arrived meanwhile have not been
+// HandleProcessStall excuses a stall of this process: events that arrived meanwhile have not been
 // processed yet. Between two events a run is excused for at most the stall timeout. Without this
 // bound, late ticks would keep a run on an unresponsive engine.
-func (m *Machine) HandleProcessPause(now time.Time, duration time.Duration) {
+func (m *Machine) HandleProcessStall(now time.Time, duration time.Duration) {
 	for _, running := range m.attempts {
-		excused := min(duration, now.Sub(running.lastEventAt), m.options.StallTimeout-running.excusedPause)
+		excused := min(duration, now.Sub(running.lastEventAt), m.options.StallTimeout-running.excusedStall)
 		if excused <= 0 {
 			continue
 		}
-		running.excusedPause += excused
+		running.excusedStall += excused
 		running.lastEventAt = running.lastEventAt.Add(excused)
 	}
 }
--- a/internal/scheduler/loads.go
+++ b/internal/scheduler/loads.go
@@ -159,7 +159,7 @@
 // orderLoads orders engines to load new versions, most urgent first, within the load window of
 // each service.
 func (m *Machine) orderLoads(now time.Time) {
-	if !m.mayOrder || m.resigned {
+	if !m.mayOrder || m.stopped {
 		m.endDraining()
 		return
 	}
--- a/internal/scheduler/machine.go
+++ b/internal/scheduler/machine.go
@@ -49,8 +49,8 @@
 
 	mayOrder bool
 	epoch    int64
-	// A resigned machine starts and orders nothing; its runs continue.
-	resigned bool
+	// A stopped machine starts and orders nothing; its runs continue.
+	stopped bool
 
 	output Output
 }
@@ -157,7 +157,7 @@
 
 // Tick processes timeouts.
 func (m *Machine) Tick(now time.Time) {
-	if m.resigned {
+	if m.stopped {
 		m.saveProgress(now)
 		return
 	}
--- a/internal/scheduler/progress.go
+++ b/internal/scheduler/progress.go
@@ -79,10 +79,10 @@
 	}
 }
 
-// Resign stops the machine from starting or ordering anything, and saves the progress of all runs,
+// StopStarting stops the machine from starting or ordering anything, and saves the progress of all runs,
 // which continue.
-func (m *Machine) Resign(now time.Time) {
-	m.resigned = true
+func (m *Machine) StopStarting(now time.Time) {
+	m.stopped = true
 	for _, running := range m.sortedAttempts() {
 		m.save(now, running)
 	}
--- a/internal/scheduler/resign_test.go
+++ b/internal/scheduler/resign_test.go
@@ -7,14 +7,14 @@
 	"dalehook/internal/routetable"
 )
 
-// A machine that resigned lets its runs continue, and starts nothing.
+// A machine after StopStarting lets its runs continue, and starts nothing.
 func TestResignedMachineStartsNothing(t *testing.T) {
 	f := newFixture(t, func(route *routetable.Route) { route.Resumable = true })
 	f.machine.HandleLease(f.now, 1, true)
 	f.servers(1, map[string]int64{"a": 1, "b": 1})
 	f.submit("j", 1, 30, 20, 10)
 	f.event(f.starts[0].Attempt, "1", 1)
-	f.machine.Resign(f.now)
+	f.machine.StopStarting(f.now)
 	f.take()
 	if len(f.progress) != 1 || f.progress[0].ItemID != "j-0" {
 		t.Errorf("progress %+v", f.progress)
--- a/internal/scheduler/rewards.go
+++ b/internal/scheduler/rewards.go
@@ -48,7 +48,7 @@
 
 // sendRewards sends the reward calls that there is capacity for.
 func (m *Machine) sendRewards(now time.Time) {
-	if m.resigned {
+	if m.stopped {
 		return
 	}
 	sends := m.rewards.Next(now, func(partition int) bool { return m.isFresh(now, partition) })
--- a/internal/scheduler/suspicions.go
+++ b/internal/scheduler/suspicions.go
@@ -17,7 +17,7 @@
 // Fingerprint identifies an item by its request. It is the same for equal items of different jobs.
 func Fingerprint(tenant, host string, source *batch.Item) quarantine.Fingerprint {
 	return quarantine.FingerprintOf(quarantine.Identity{
-		Caller: tenant, Method: http.MethodPost, Host: host, Target: source.Path, Body: source.Body,
+		Tenant: tenant, Method: http.MethodPost, Host: host, Target: source.Path, Body: source.Body,
 	})
 }
 
--- a/internal/scheduler/types.go
+++ b/internal/scheduler/types.go
@@ -255,9 +255,9 @@
 	engine      *engine
 	startedAt   time.Time
 	lastEventAt time.Time
-	// excusedPause is the time since the last event that was excused because this process was
-	// paused.
-	excusedPause time.Duration
+	// excusedStall is the time since the last event that was excused because this process was
+	// stalled.
+	excusedStall time.Duration
 	events       int
 	// sampleStart is when the current gap sample of the engine started, and sampleEvents the
 	// number of its events.
--- a/internal/scheduler/waiting_test.go
+++ b/internal/scheduler/waiting_test.go
@@ -216,7 +216,7 @@
 		start := f.now
 		for len(f.cancels) == 0 && f.now.Sub(start) < 30*time.Second {
 			if late := every - due; late > 0 {
-				f.machine.HandleProcessPause(f.now.Add(every), late)
+				f.machine.HandleProcessStall(f.now.Add(every), late)
 			}
 			f.advance(every)
 		}
