--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -89,7 +89,7 @@
 	CrashTracker *crashwatch.Tracker
 	Rewards      Rewards
 	Log          store.Log
-	Jobs         *joblog.Logs
+	JobLogs      *joblog.Logs
 	Directory    *directory.Directory
 	Scheduler    scheduler.Options
 	// OrderPause is the time after a takeover in which no order is sent, so that
--- a/internal/coordinator/handover_test.go
+++ b/internal/coordinator/handover_test.go
@@ -74,7 +74,7 @@
 	jobs := joblog.NewLogs(joblog.Options{Log: log, Partitions: partitions, Logger: logger})
 	servers := directory.NewDirectory()
 	servers.Replace([]directory.Server{{ID: "s", Service: "pool", Slots: slots, Versions: map[string]int64{"m": 1}}})
-	c := New(Options{Engines: engines, Log: log, Jobs: jobs, Directory: servers, Logger: logger, Observer: discardObserver{}})
+	c := New(Options{Engines: engines, Log: log, JobLogs: jobs, Directory: servers, Logger: logger, Observer: discardObserver{}})
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() { defer close(ended); c.Run(ctx) }()
--- a/internal/coordinator/output.go
+++ b/internal/coordinator/output.go
@@ -53,7 +53,7 @@
 		c.options.Logger.Error("progress not encoded", zap.String("item", progress.ItemID), zap.Error(err))
 		return store.Partition{}, nil, false
 	}
-	return store.Partition{Topic: store.TopicProgress, Number: c.options.Jobs.PartitionOf(progress.JobID)}, record, true
+	return store.Partition{Topic: store.TopicProgress, Number: c.options.JobLogs.PartitionOf(progress.JobID)}, record, true
 }
 
 func (c *Coordinator) appendResult(result batch.Result) {
@@ -65,7 +65,7 @@
 	c.options.Observer.ObserveResult(result.Outcome.String())
 	c.options.Logger.Info("item finished", zap.String("job", result.JobID), zap.String("item", result.ItemID),
 		zap.Stringer("outcome", result.Outcome), zap.Int64s("versions", result.Versions), zap.Int64("epoch", c.lease.Epoch))
-	at := store.Partition{Topic: store.TopicJobs, Number: c.options.Jobs.PartitionOf(result.JobID)}
+	at := store.Partition{Topic: store.TopicJobs, Number: c.options.JobLogs.PartitionOf(result.JobID)}
 	c.writer.add(at, records)
 }
 
--- a/internal/coordinator/term.go
+++ b/internal/coordinator/term.go
@@ -63,17 +63,17 @@
 	c.handleServers(now, c.machine)
 	c.options.Logger.Info("term begun", zap.Int64("epoch", c.termEpoch))
 	termCtx, machine, lease := c.termCtx, c.machine, state.Lease
-	c.background.Go(func() { c.takeOverAndFollow(termCtx, machine, lease) })
+	c.background.Go(func() { c.takeOverAndSubscribe(termCtx, machine, lease) })
 }
 
-// takeOverAndFollow takes over from the predecessors and subscribes to the jobs for the term. Each
+// takeOverAndSubscribe takes over from the predecessors and subscribes to the jobs for the term. Each
 // partition is handled on its own, so that one to which appends fail does not delay the others.
-func (c *Coordinator) takeOverAndFollow(termCtx context.Context, machine *scheduler.Machine, lease election.Lease) {
+func (c *Coordinator) takeOverAndSubscribe(termCtx context.Context, machine *scheduler.Machine, lease election.Lease) {
 	began := clock.Now()
 	var partitions conc.WaitGroup
 	// The partitions are read during the takeover.
-	for number := range c.options.Jobs.Partitions() {
-		partitions.Go(func() { c.options.Jobs.Follow(termCtx, number) })
+	for number := range c.options.JobLogs.Partitions() {
+		partitions.Go(func() { c.options.JobLogs.Follow(termCtx, number) })
 	}
 	partitions.Wait()
 	handover := c.takeOver(termCtx, lease.HandoverFrom)
@@ -85,13 +85,13 @@
 		}
 	}
 	subscriber := &termSubscriber{coordinator: c, machine: machine}
-	for number := range c.options.Jobs.Partitions() {
+	for number := range c.options.JobLogs.Partitions() {
 		partitions.Go(func() {
 			c.appendHandover(termCtx, handover, number)
 			if !handover.Whole {
 				items.Add(c.handleRecovered(machine, number, c.recoverProgress(termCtx, number)))
 			}
-			c.options.Jobs.Subscribe(termCtx, number, subscriber)
+			c.options.JobLogs.Subscribe(termCtx, number, subscriber)
 			c.options.Logger.Info("jobs followed", zap.Int("partition", number), zap.Int64("epoch", lease.Epoch),
 				zap.Bool("term_over", termCtx.Err() != nil))
 		})
--- a/internal/coordinator/term_subscriber.go
+++ b/internal/coordinator/term_subscriber.go
@@ -20,7 +20,7 @@
 // HandleChange implements joblog.Subscriber.
 func (f *termSubscriber) HandleChange(partition int, change batch.Change) {
 	f.coordinator.withTermScheduler(f.machine, func(now time.Time) {
-		if change.Accepted != nil && !f.coordinator.options.Jobs.Indexed(change.Accepted.Job.ID) {
+		if change.Accepted != nil && !f.coordinator.options.JobLogs.Indexed(change.Accepted.Job.ID) {
 			f.coordinator.indexJob(partition, change.Accepted)
 		}
 		switch {
@@ -45,8 +45,8 @@
 }
 
 // HandleCaughtUp implements joblog.Subscriber.
-func (f *termSubscriber) HandleCaughtUp(partition int, since time.Time) {
-	f.coordinator.withTermScheduler(f.machine, func(now time.Time) { f.machine.HandlePartitionRead(now, partition, since) })
+func (f *termSubscriber) HandleCaughtUp(partition int, requestedAt time.Time) {
+	f.coordinator.withTermScheduler(f.machine, func(now time.Time) { f.machine.HandlePartitionRead(now, partition, requestedAt) })
 }
 
 // indexJob appends the index entry that tells readers where a job begins. The caller holds the mutex.
--- a/internal/crashwatch/record.go
+++ b/internal/crashwatch/record.go
@@ -83,7 +83,7 @@
 }
 
 // isConfirmation reports whether an end is a confirmation: one without a server, which says that
-// the proof against the request stands until it is cleared.
+// the request remains held until it is cleared, whatever other ends are recorded.
 func isConfirmation(end quarantine.End) bool { return end.Server == directory.Incarnation{} }
 
 // confirmationOf returns the confirmation for a request.
--- a/internal/crashwatch/share.go
+++ b/internal/crashwatch/share.go
@@ -58,7 +58,7 @@
 // replaceAll rebuilds the ledger from all records. Findings of this node that are not written yet
 // are kept.
 func (t *Tracker) replaceAll(records []store.Record) {
-	isCleaner := t.options.IsCleaner()
+	removesExpired := t.options.RemovesExpired()
 	now := clock.Now()
 	t.mutex.Lock()
 	before := t.ledger
@@ -69,7 +69,7 @@
 		t.applyFindingLocked(unsent)
 	}
 	t.ledger.MergeTimes(before)
-	t.expireLocked(now, isCleaner)
+	t.expireLocked(now, removesExpired)
 	t.updateLocked()
 	t.mutex.Unlock()
 	t.loaded.Store(true)
--- a/internal/crashwatch/sweep.go
+++ b/internal/crashwatch/sweep.go
@@ -12,7 +12,7 @@
 	if !t.Active() {
 		return
 	}
-	isCleaner := t.options.IsCleaner()
+	removesExpired := t.options.RemovesExpired()
 	t.mutex.Lock()
 	for _, disconnected := range t.disconnectedServers {
 		if now.Sub(disconnected.firstBreakAt) > replacementTimeout {
@@ -24,8 +24,8 @@
 			delete(t.ended, server)
 		}
 	}
-	t.confirmLocked(now, isCleaner)
-	changed := t.expireLocked(now, isCleaner) || t.ledger.HasAmbiguous()
+	t.confirmLocked(now, removesExpired)
+	changed := t.expireLocked(now, removesExpired) || t.ledger.HasAmbiguous()
 	t.updateLocked()
 	t.mutex.Unlock()
 	if changed {
@@ -33,24 +33,24 @@
 	}
 }
 
-// confirmDelay is how long a proof must stand before later ends of other requests no longer weaken
-// it: by then all nodes have reported what they were running at the last end.
+// confirmDelay is how long a request must be held as proven before later ends of other requests no
+// longer weaken the proof: by then all nodes have reported what they were running at the last end.
 const confirmDelay = time.Second
 
-// confirmLocked confirms the proofs that have stood for confirmDelay. One node writes the
+// confirmLocked confirms the proofs that are at least confirmDelay old. One node writes the
 // confirmations to the store, for nodes that start later.
-func (t *Tracker) confirmLocked(now time.Time, isCleaner bool) {
+func (t *Tracker) confirmLocked(now time.Time, removesExpired bool) {
 	for fingerprint, since := range t.heldSince {
-		if now.Sub(since) >= confirmDelay && t.ledger.Confirm(fingerprint) && isCleaner {
+		if now.Sub(since) >= confirmDelay && t.ledger.Confirm(fingerprint) && removesExpired {
 			t.enqueueLocked(quarantine.End{Fingerprint: fingerprint, At: now})
 		}
 	}
 }
 
 // expireLocked drops the requests whose last end is older than the retention of the ledger.
-func (t *Tracker) expireLocked(now time.Time, isCleaner bool) bool {
+func (t *Tracker) expireLocked(now time.Time, removesExpired bool) bool {
 	expired := t.ledger.Expire(now)
-	if isCleaner {
+	if removesExpired {
 		t.retractLocked(expired)
 		for _, end := range expired {
 			t.enqueueRetractionLocked(confirmationOf(end.Fingerprint))
--- a/internal/crashwatch/tracker.go
+++ b/internal/crashwatch/tracker.go
@@ -32,9 +32,9 @@
 	StoreProxy StoreProxy
 	// OnChange is called when a suspicion has changed; it may be nil.
 	OnChange func()
-	// IsCleaner reports whether this node removes expired records from the store; a single node
-	// suffices. It may be nil.
-	IsCleaner func() bool
+	// RemovesExpired reports whether this node removes expired records from the store and writes
+	// confirmations; a single node suffices. It may be nil.
+	RemovesExpired func() bool
 	// Observer receives the tracker's events; it may be nil.
 	Observer Observer
 	// TimeOfDay returns the machine's time of day; nil means that of package clock.
@@ -87,8 +87,8 @@
 	if options.OnChange == nil {
 		options.OnChange = func() {}
 	}
-	if options.IsCleaner == nil {
-		options.IsCleaner = func() bool { return false }
+	if options.RemovesExpired == nil {
+		options.RemovesExpired = func() bool { return false }
 	}
 	if options.Observer == nil {
 		options.Observer = noObserver{}
--- a/internal/crashwatch/tracker_test.go
+++ b/internal/crashwatch/tracker_test.go
@@ -33,7 +33,7 @@
 	node := &testNode{list: directory.NewDirectory()}
 	node.probeResult.Store(int32(ProbeRefused))
 	node.Tracker = NewTracker(Options{
-		Node: "n", Log: log, Directory: node.list, IsCleaner: func() bool { return true },
+		Node: "n", Log: log, Directory: node.list, RemovesExpired: func() bool { return true },
 		TimeOfDay: func() time.Time { return clock.TimeOfDay().Add(time.Duration(node.clockOffset.Load())) },
 		Probe: func(context.Context, string) ProbeResult {
 			node.probes.Add(1)
--- a/internal/frontend/append_test.go
+++ b/internal/frontend/append_test.go
@@ -40,7 +40,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				log := storetest.NewMemory()
 				log.SetFault(storetest.FaultSilent)
-				n := &Node{logger: zap.NewNop(), jobs: joblog.NewLogs(joblog.Options{Log: log, Partitions: 1, Logger: zap.NewNop()})}
+				n := &Node{logger: zap.NewNop(), jobLogs: joblog.NewLogs(joblog.Options{Log: log, Partitions: 1, Logger: zap.NewNop()})}
 				ctx, end := context.WithCancelCause(t.Context())
 				began := time.Now()
 				time.AfterFunc(requestLifetime, func() { end(c.cause) })
--- a/internal/frontend/election.go
+++ b/internal/frontend/election.go
@@ -54,7 +54,7 @@
 
 // observeLease handles a change of this node's state in the election.
 func (n *Node) observeLease(state election.State) {
-	n.jobReader.observeCoordinator(state.Leading, state.Coordinator)
+	n.jobReadRouter.observeCoordinator(state.Leading, state.Coordinator)
 	n.electionState.Store(&state)
 	n.peers.Note(state.Coordinator)
 	n.coordinator.HandleLease(state)
--- a/internal/frontend/endedjobs_bench_test.go
+++ b/internal/frontend/endedjobs_bench_test.go
@@ -70,7 +70,7 @@
 
 // readAllResults reads a job's results page by page, and returns the time to the first page and to
 // the last one.
-func readAllResults(t testing.TB, node *jobReader, job string) (first, all time.Duration) {
+func readAllResults(t testing.TB, node *jobReadRouter, job string) (first, all time.Duration) {
 	began := time.Now()
 	for from := 0; from < endedJobItems-1; {
 		_, results, verdict := node.results(context.Background(), batch.JobKey{ID: job}, from, 0)
@@ -104,8 +104,8 @@
 	reads, bytes := 0, 0
 	for range b.N {
 		coordinator, stopCoordinator := startReader(storetest.NewLink(memory, linkBandwidth), func(readSource) {})
-		coordinator.jobs.Follow(context.Background(), 0)
-		coordinator.jobs.Subscribe(b.Context(), 0, subscriber{})
+		coordinator.jobLogs.Follow(context.Background(), 0)
+		coordinator.jobLogs.Subscribe(b.Context(), 0, subscriber{})
 		log := storetest.NewLink(memory, linkBandwidth)
 		node, stop := startReader(log, func(readSource) {})
 		node.observeCoordinator(false, serve(b, coordinator))
--- a/internal/frontend/jobreads.go
+++ b/internal/frontend/jobreads.go
@@ -51,13 +51,13 @@
 	noCoordinatorTimeout = 4 * time.Second
 )
 
-// jobReader answers reads of batch jobs: from local records, else from the coordinator, which
+// jobReadRouter answers reads of batch jobs: from local records, else from the coordinator, which
 // follows all partitions, else from the store.
-type jobReader struct {
-	jobs    *joblog.Logs
+type jobReadRouter struct {
+	jobLogs *joblog.Logs
 	observe func(readSource)
 	// observeMisread is called for each answer of a coordinator that didn't understand the
-	// question.
+	// request.
 	observeMisread func()
 	logger         *zap.Logger
 
@@ -72,19 +72,19 @@
 	failedAt time.Time
 	// seenAt is when a coordinator was last known and, if it was called, answered.
 	seenAt time.Time
-	// misreadBy is the address of the coordinator that last didn't understand a question.
+	// misreadBy is the address of the coordinator that last didn't understand a request.
 	misreadBy string
 }
 
-var _ jobread.Reader = (*jobReader)(nil)
+var _ jobread.Reader = (*jobReadRouter)(nil)
 
-func newJobReader(jobs *joblog.Logs, observe func(readSource), observeMisread func(), logger *zap.Logger) *jobReader {
-	return &jobReader{jobs: jobs, observe: observe, observeMisread: observeMisread, logger: logger, changed: make(chan struct{}), seenAt: clock.Now()}
+func newJobReadRouter(jobs *joblog.Logs, observe func(readSource), observeMisread func(), logger *zap.Logger) *jobReadRouter {
+	return &jobReadRouter{jobLogs: jobs, observe: observe, observeMisread: observeMisread, logger: logger, changed: make(chan struct{}), seenAt: clock.Now()}
 }
 
 // observeCoordinator records whether this node is the coordinator, and the address of another one,
 // empty if unknown.
-func (r *jobReader) observeCoordinator(leading bool, address string) {
+func (r *jobReadRouter) observeCoordinator(leading bool, address string) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if r.leading != leading || r.coordinator != address {
@@ -99,7 +99,7 @@
 
 // awaitForwardTarget returns the address to which a read is forwarded, empty for none. It waits up
 // to coordinatorWait until a coordinator is known.
-func (r *jobReader) awaitForwardTarget(ctx context.Context) string {
+func (r *jobReadRouter) awaitForwardTarget(ctx context.Context) string {
 	ctx, cancel := context.WithTimeout(ctx, coordinatorWait)
 	defer cancel()
 	for {
@@ -119,7 +119,7 @@
 
 // forwardTarget returns the address of another node that is the coordinator, empty if there is none
 // or if it failed to answer within forwardBackoff.
-func (r *jobReader) forwardTarget() string {
+func (r *jobReadRouter) forwardTarget() string {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if r.leading || clock.Since(r.failedAt) < forwardBackoff {
@@ -130,14 +130,14 @@
 
 // mayReadWholePartition reports whether this node searches a whole partition for a job that isn't
 // in the index: as the coordinator, or if there has been none for noCoordinatorTimeout.
-func (r *jobReader) mayReadWholePartition() bool {
+func (r *jobReadRouter) mayReadWholePartition() bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return r.leading || clock.Since(r.seenAt) > noCoordinatorTimeout
 }
 
 // callCoordinator calls the coordinator at an address and records whether it answered.
-func (r *jobReader) callCoordinator(ctx context.Context, address, jobID string, timeout time.Duration, call func(context.Context) error) (answered bool) {
+func (r *jobReadRouter) callCoordinator(ctx context.Context, address, jobID string, timeout time.Duration, call func(context.Context) error) (answered bool) {
 	bounded, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	err := call(bounded)
@@ -149,7 +149,7 @@
 }
 
 // recordAnswer records the result of a call to the coordinator.
-func (r *jobReader) recordAnswer(address, jobID string, err error) {
+func (r *jobReadRouter) recordAnswer(address, jobID string, err error) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if err == nil {
@@ -164,7 +164,7 @@
 
 // results returns a job's results from a position on. If there are none yet, it polls for up to
 // wait.
-func (r *jobReader) results(ctx context.Context, job batch.JobKey, from int, wait time.Duration) (total int, results []batch.Result, verdict Verdict) {
+func (r *jobReadRouter) results(ctx context.Context, job batch.JobKey, from int, wait time.Duration) (total int, results []batch.Result, verdict Verdict) {
 	source := sourceLocal
 	page := r.localResults(job, from)
 	if page.Verdict == jobread.Found {
@@ -195,31 +195,31 @@
 
 // forwardResults asks the coordinator, if one is known. It first asks without a wait, so that a
 // dead coordinator is noticed early, and then again as a long poll.
-func (r *jobReader) forwardResults(ctx context.Context, job batch.JobKey, from int, wait time.Duration) jobread.Results {
+func (r *jobReadRouter) forwardResults(ctx context.Context, job batch.JobKey, from int, wait time.Duration) jobread.Results {
 	address := r.awaitForwardTarget(ctx)
 	if address == "" {
 		return jobread.Results{}
 	}
-	question := jobread.ResultsRequest{Job: job, From: from, MostBytes: maxPageBytes}
+	request := jobread.ResultsRequest{Job: job, From: from, MostBytes: maxPageBytes}
 	askedAt := clock.Now()
-	page := r.callResults(ctx, address, question)
+	page := r.callResults(ctx, address, request)
 	if page.Verdict != jobread.Found || len(page.Results) > 0 || page.Ended || wait <= 0 {
 		return page
 	}
-	question.Wait = wait
-	held := r.callResults(ctx, address, question)
+	request.Wait = wait
+	held := r.callResults(ctx, address, request)
 	if held.Verdict != jobread.Found && clock.Since(askedAt) < joblog.MaxStaleness {
 		return page
 	}
 	return held // the page from before the long poll is too old
 }
 
-func (r *jobReader) callResults(ctx context.Context, address string, question jobread.ResultsRequest) (page jobread.Results) {
-	answered := r.callCoordinator(ctx, address, question.Job.ID, question.Wait+forwardTimeout, func(ctx context.Context) (err error) {
-		page, err = jobread.RequestResults(ctx, address, question)
+func (r *jobReadRouter) callResults(ctx context.Context, address string, request jobread.ResultsRequest) (page jobread.Results) {
+	answered := r.callCoordinator(ctx, address, request.Job.ID, request.Wait+forwardTimeout, func(ctx context.Context) (err error) {
+		page, err = jobread.RequestResults(ctx, address, request)
 		return err
 	})
-	if !answered || !r.understood(address, question.Job, page.Job, page.Verdict) {
+	if !answered || !r.understood(address, request.Job, page.Job, page.Verdict) {
 		return jobread.Results{}
 	}
 	return page
@@ -227,7 +227,7 @@
 
 // understood reports whether the coordinator's answer refers to the job that was asked for. If not,
 // the caller reads the store instead.
-func (r *jobReader) understood(address string, asked, answered batch.JobKey, verdict jobread.Verdict) bool {
+func (r *jobReadRouter) understood(address string, asked, answered batch.JobKey, verdict jobread.Verdict) bool {
 	if jobread.Conclusive(asked, answered, verdict) {
 		return true
 	}
@@ -243,24 +243,24 @@
 }
 
 // awaitLocalResults waits, for a page without results, until this node's own records have one.
-func (r *jobReader) awaitLocalResults(ctx context.Context, job batch.JobKey, from int, wait time.Duration, page jobread.Results) jobread.Results {
+func (r *jobReadRouter) awaitLocalResults(ctx context.Context, job batch.JobKey, from int, wait time.Duration, page jobread.Results) jobread.Results {
 	if page.Verdict != jobread.Found || len(page.Results) > 0 || page.Ended || wait <= 0 {
 		return page
 	}
 	waiting, cancel := context.WithTimeout(ctx, wait)
-	r.jobs.WaitFor(waiting, job.ID, from)
+	r.jobLogs.WaitFor(waiting, job.ID, from)
 	cancel()
 	return r.storedResults(ctx, job, from)
 }
 
 // localResults returns a job's results from local records, if these suffice.
-func (r *jobReader) localResults(job batch.JobKey, from int) (page jobread.Results) {
-	r.jobs.ViewCached(job.ID, joblog.HasPosition(from), func(state *batch.State) { page = resultsPage(state, job, from) })
+func (r *jobReadRouter) localResults(job batch.JobKey, from int) (page jobread.Results) {
+	r.jobLogs.ViewCached(job.ID, joblog.HasPosition(from), func(state *batch.State) { page = resultsPage(state, job, from) })
 	return page
 }
 
 // storedResults reads a job's results from the store.
-func (r *jobReader) storedResults(ctx context.Context, job batch.JobKey, from int) (page jobread.Results) {
+func (r *jobReadRouter) storedResults(ctx context.Context, job batch.JobKey, from int) (page jobread.Results) {
 	err := r.view(ctx, job.ID, joblog.HasPosition(from), func(state *batch.State) { page = resultsPage(state, job, from) })
 	if err != nil {
 		r.logger.Warn("batch job not read", zap.String("job", job.ID), zap.Error(err))
@@ -271,11 +271,11 @@
 
 // view reads a job from the store. It reads only the job's own records, as the index has them,
 // unless this node may read the whole partition.
-func (r *jobReader) view(ctx context.Context, jobID string, satisfied joblog.Condition, visit func(*batch.State)) error {
+func (r *jobReadRouter) view(ctx context.Context, jobID string, condition joblog.Condition, visit func(*batch.State)) error {
 	if r.mayReadWholePartition() {
-		return r.jobs.View(ctx, jobID, satisfied, visit)
+		return r.jobLogs.View(ctx, jobID, condition, visit)
 	}
-	return r.jobs.ViewIndexed(ctx, jobID, satisfied, visit)
+	return r.jobLogs.ViewIndexed(ctx, jobID, condition, visit)
 }
 
 // resultsPage returns a job's results from a position on; state is nil if the job doesn't exist. A
@@ -291,26 +291,26 @@
 }
 
 // FollowedResults implements jobread.Reader.
-func (r *jobReader) FollowedResults(question jobread.ResultsRequest) (page jobread.Results) {
-	if question.Wait > 0 {
-		waiting, cancel := context.WithTimeout(context.Background(), question.Wait)
-		r.jobs.WaitFor(waiting, question.Job.ID, question.From)
+func (r *jobReadRouter) FollowedResults(request jobread.ResultsRequest) (page jobread.Results) {
+	if request.Wait > 0 {
+		waiting, cancel := context.WithTimeout(context.Background(), request.Wait)
+		r.jobLogs.WaitFor(waiting, request.Job.ID, request.From)
 		cancel()
 	}
-	err := r.viewFollowed(question.Job.ID, joblog.HasPosition(question.From), func(state *batch.State) {
-		page = resultsPage(state, question.Job, question.From)
+	err := r.viewFollowed(request.Job.ID, joblog.HasPosition(request.From), func(state *batch.State) {
+		page = resultsPage(state, request.Job, request.From)
 	})
 	if err != nil {
 		return jobread.Results{Verdict: verdictOfError(err)}
 	}
-	page.Results = limitResults(page.Results, question.MostBytes)
+	page.Results = limitResults(page.Results, request.MostBytes)
 	return page
 }
 
-func (r *jobReader) viewFollowed(jobID string, satisfied joblog.Condition, visit func(*batch.State)) error {
+func (r *jobReadRouter) viewFollowed(jobID string, condition joblog.Condition, visit func(*batch.State)) error {
 	ctx, cancel := context.WithTimeout(context.Background(), followTimeout)
 	defer cancel()
-	return r.jobs.ViewFollowed(ctx, jobID, satisfied, visit)
+	return r.jobLogs.ViewFollowed(ctx, jobID, condition, visit)
 }
 
 func verdictOfError(err error) jobread.Verdict {
@@ -334,9 +334,9 @@
 }
 
 // itemBody returns the body of an item that has no result yet.
-func (r *jobReader) itemBody(ctx context.Context, job batch.JobKey, itemID string) ([]byte, Verdict) {
+func (r *jobReadRouter) itemBody(ctx context.Context, job batch.JobKey, itemID string) ([]byte, Verdict) {
 	body, source := jobread.Body{}, sourceLocal
-	if known := r.jobs.ViewCached(job.ID, joblog.HasItem(itemID), func(state *batch.State) { body = lookupBody(state, job, itemID) }); !known {
+	if known := r.jobLogs.ViewCached(job.ID, joblog.HasItem(itemID), func(state *batch.State) { body = lookupBody(state, job, itemID) }); !known {
 		if body = r.forwardBody(ctx, job, itemID); body.Verdict != jobread.NotFollowed {
 			source = sourceCoordinator
 		} else {
@@ -349,7 +349,7 @@
 }
 
 // forwardBody asks the coordinator for a body, if one is known.
-func (r *jobReader) forwardBody(ctx context.Context, job batch.JobKey, itemID string) (body jobread.Body) {
+func (r *jobReadRouter) forwardBody(ctx context.Context, job batch.JobKey, itemID string) (body jobread.Body) {
 	address := r.awaitForwardTarget(ctx)
 	if address == "" {
 		return jobread.Body{}
@@ -364,7 +364,7 @@
 	return body
 }
 
-func (r *jobReader) storedBody(ctx context.Context, job batch.JobKey, itemID string) (body jobread.Body) {
+func (r *jobReadRouter) storedBody(ctx context.Context, job batch.JobKey, itemID string) (body jobread.Body) {
 	err := r.view(ctx, job.ID, joblog.HasItem(itemID), func(state *batch.State) { body = lookupBody(state, job, itemID) })
 	if err != nil {
 		r.logger.Warn("item not read", zap.String("job", job.ID), zap.String("item", itemID), zap.Error(err))
@@ -382,9 +382,9 @@
 }
 
 // FollowedBody implements jobread.Reader.
-func (r *jobReader) FollowedBody(question jobread.BodyRequest) (body jobread.Body) {
-	err := r.viewFollowed(question.Job.ID, joblog.HasItem(question.ItemID), func(state *batch.State) {
-		body = lookupBody(state, question.Job, question.ItemID)
+func (r *jobReadRouter) FollowedBody(request jobread.BodyRequest) (body jobread.Body) {
+	err := r.viewFollowed(request.Job.ID, joblog.HasItem(request.ItemID), func(state *batch.State) {
+		body = lookupBody(state, request.Job, request.ItemID)
 	})
 	if err != nil {
 		return jobread.Body{Verdict: verdictOfError(err)}
--- a/internal/frontend/jobreads_absent_test.go
+++ b/internal/frontend/jobreads_absent_test.go
@@ -38,7 +38,7 @@
 			t.Fatal(err)
 		}
 		coordinator := newReaderNode(t, memory)
-		coordinator.jobs.Subscribe(t.Context(), 0, subscriber{})
+		coordinator.jobLogs.Subscribe(t.Context(), 0, subscriber{})
 		coordinator.observeCoordinator(true, "")
 		node := newReaderNode(t, memory)
 		node.observeCoordinator(false, serve(t, coordinator))
@@ -71,8 +71,8 @@
 	coordinator := &readerNode{}
 	reader, stop := startReader(cut, func(readSource) {})
 	t.Cleanup(stop)
-	coordinator.jobReader = reader
-	coordinator.jobs.Subscribe(t.Context(), 0, subscriber{})
+	coordinator.jobReadRouter = reader
+	coordinator.jobLogs.Subscribe(t.Context(), 0, subscriber{})
 	coordinator.observeCoordinator(true, "")
 	appendOpenJob(t, memory, "before")
 	checkNotReportedAbsent(t, coordinator, "before", "before-0")
@@ -96,8 +96,8 @@
 	appendIndex(t, memory, "open", 0)
 	appendOpenJob(t, memory, "not indexed")
 	coordinator := newReaderNode(t, memory)
-	coordinator.jobs.Follow(context.Background(), 0)
-	coordinator.jobs.Subscribe(t.Context(), 0, subscriber{})
+	coordinator.jobLogs.Follow(context.Background(), 0)
+	coordinator.jobLogs.Subscribe(t.Context(), 0, subscriber{})
 	coordinator.observeCoordinator(true, "")
 	node := newReaderNode(t, memory)
 	node.observeCoordinator(false, serve(t, coordinator))
@@ -115,11 +115,11 @@
 	stop <-chan struct{}
 }
 
-func (s hangingReader) FollowedResults(question jobread.ResultsRequest) jobread.Results {
-	if question.Wait > 0 {
+func (s hangingReader) FollowedResults(request jobread.ResultsRequest) jobread.Results {
+	if request.Wait > 0 {
 		<-s.stop
 	}
-	return s.Reader.FollowedResults(question)
+	return s.Reader.FollowedResults(request)
 }
 
 // A node reported a position as empty more than a second after another node had read a result
@@ -130,7 +130,7 @@
 	appendOpenJob(t, memory, "job")
 	appendIndex(t, memory, "job", 0)
 	coordinator := newReaderNode(t, memory)
-	coordinator.jobs.Subscribe(t.Context(), 0, subscriber{})
+	coordinator.jobLogs.Subscribe(t.Context(), 0, subscriber{})
 	stop := make(chan struct{})
 	defer close(stop)
 	node := newReaderNode(t, memory)
--- a/internal/frontend/jobreads_bench_test.go
+++ b/internal/frontend/jobreads_bench_test.go
@@ -72,7 +72,7 @@
 		appendBenchJob(b, log.Memory, "job")
 		appendIndex(b, log.Memory, "job", start)
 		coordinator, stop := startReader(log, func(readSource) {})
-		coordinator.jobs.Subscribe(context.Background(), 0, subscriber{})
+		coordinator.jobLogs.Subscribe(context.Background(), 0, subscriber{})
 		address := serve(b, coordinator)
 		for _, source := range []string{"coordinator", "index", "partition"} {
 			b.Run(fmt.Sprintf("%s/%d", source, others), func(b *testing.B) {
@@ -95,7 +95,7 @@
 		}
 		before = log.bytes.Load()
 		if source == "partition" {
-			node.jobs.Follow(context.Background(), 0)
+			node.jobLogs.Follow(context.Background(), 0)
 		}
 		_, results, verdict := node.results(context.Background(), batch.JobKey{ID: "job"}, benchItems-10, 0)
 		if verdict != VerdictDone || len(results) != 10 {
--- a/internal/frontend/jobreads_builds_test.go
+++ b/internal/frontend/jobreads_builds_test.go
@@ -14,7 +14,7 @@
 )
 
 // Guards against wrong 404 answers during rolling upgrades. Nodes forward reads to the coordinator
-// as gob. The earlier build's question identified the job by JobID, the later one's by Job with a
+// as gob. The earlier build's request identified the job by JobID, the later one's by Job with a
 // tenant and an id. Since gob drops unknown fields and leaves missing ones zero, a coordinator of
 // the other build looked up a job with an empty name and reported it as absent, and the asking node
 // believed it. Two real programs gave 206 and 219 such answers, one count for each order of the
@@ -34,17 +34,17 @@
 // earlierCoordinator answers as a coordinator of such a build that follows one job.
 type earlierCoordinator struct{ job string }
 
-func (c *earlierCoordinator) Results(question EarlierResultsQuestion, answer *jobread.Results) error {
+func (c *earlierCoordinator) Results(request EarlierResultsQuestion, answer *jobread.Results) error {
 	*answer = jobread.Results{Verdict: jobread.Absent}
-	if question.JobID == c.job {
+	if request.JobID == c.job {
 		*answer = jobread.Results{Verdict: jobread.Found, Total: 1, Results: []batch.Result{{JobID: c.job, ItemID: c.job + "-0", Text: "text"}}}
 	}
 	return nil
 }
 
-func (c *earlierCoordinator) Body(question EarlierBodyQuestion, answer *jobread.Body) error {
+func (c *earlierCoordinator) Body(request EarlierBodyQuestion, answer *jobread.Body) error {
 	*answer = jobread.Body{Verdict: jobread.Absent}
-	if question.JobID == c.job && question.ItemID == c.job+"-1" {
+	if request.JobID == c.job && request.ItemID == c.job+"-1" {
 		*answer = jobread.Body{Verdict: jobread.Found, Bytes: []byte("body")}
 	}
 	return nil
@@ -92,9 +92,9 @@
 		})
 		t.Run("a node of the earlier build asks a coordinator of this one, tenant "+name.Tenant, func(t *testing.T) {
 			coordinator := newReaderNode(t, memory)
-			coordinator.jobs.Subscribe(ctx, 0, subscriber{})
+			coordinator.jobLogs.Subscribe(ctx, 0, subscriber{})
 			address := serve(t, coordinator)
-			// A job without a tenant is returned. A job with a tenant is not, since the question
+			// A job without a tenant is returned. A job with a tenant is not, since the request
 			// doesn't say on whose behalf it is asked.
 			want := jobread.Found
 			if name.Tenant != "" {
--- a/internal/frontend/jobreads_test.go
+++ b/internal/frontend/jobreads_test.go
@@ -20,7 +20,7 @@
 
 // readerNode is a job reader on a store in memory.
 type readerNode struct {
-	*jobReader
+	*jobReadRouter
 	sources []readSource
 }
 
@@ -28,12 +28,12 @@
 	node := &readerNode{}
 	reader, stop := startReader(memory, func(source readSource) { node.sources = append(node.sources, source) })
 	t.Cleanup(stop)
-	node.jobReader = reader
+	node.jobReadRouter = reader
 	return node
 }
 
 // startReader returns a reader on a store with one partition, and the function that stops it.
-func startReader(log store.Log, observe func(readSource)) (reader *jobReader, stop func()) {
+func startReader(log store.Log, observe func(readSource)) (reader *jobReadRouter, stop func()) {
 	jobs := joblog.NewLogs(joblog.Options{Log: log, Partitions: 1, Logger: zap.NewNop()})
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
@@ -41,7 +41,7 @@
 		defer close(ended)
 		jobs.Run(ctx)
 	}()
-	return newJobReader(jobs, observe, func() {}, zap.NewNop()), func() {
+	return newJobReadRouter(jobs, observe, func() {}, zap.NewNop()), func() {
 		cancel()
 		<-ended
 	}
@@ -109,9 +109,9 @@
 	appendJob(t, memory, "job", 3)
 	appendIndex(t, memory, "job", 0)
 	coordinator := newReaderNode(t, memory)
-	coordinator.jobs.Subscribe(context.Background(), 0, subscriber{})
+	coordinator.jobLogs.Subscribe(context.Background(), 0, subscriber{})
 	newCoordinator := newReaderNode(t, memory)
-	newCoordinator.jobs.Follow(context.Background(), 0)
+	newCoordinator.jobLogs.Follow(context.Background(), 0)
 	gone := listen(t)
 	gone.Close()
 	cases := []struct {
@@ -199,7 +199,7 @@
 	memory := storetest.NewMemory()
 	appendJob(t, memory, "job", 1)
 	coordinator := newReaderNode(t, memory)
-	coordinator.jobs.Subscribe(context.Background(), 0, subscriber{})
+	coordinator.jobLogs.Subscribe(context.Background(), 0, subscriber{})
 	node := newReaderNode(t, memory)
 	node.observeCoordinator(false, serve(t, coordinator))
 	job := &batch.Job{ID: "later", Items: []batch.Item{{ID: "later-0"}}}
--- a/internal/frontend/node.go
+++ b/internal/frontend/node.go
@@ -133,14 +133,14 @@
 	leave             chan struct{}
 	directory         *directory.Directory
 	// zones tracks the evacuated zones.
-	zones        evacuatedZones
-	servers      *serverlist.List
-	gateway      *gateway.Gateway
-	crashTracker *crashwatch.Tracker
-	startedAt    time.Time
-	jobs         *joblog.Logs
-	jobReader    *jobReader
-	coordinator  *coordinator.Coordinator
+	zones         evacuatedZones
+	servers       *serverlist.List
+	gateway       *gateway.Gateway
+	crashTracker  *crashwatch.Tracker
+	startedAt     time.Time
+	jobLogs       *joblog.Logs
+	jobReadRouter *jobReadRouter
+	coordinator   *coordinator.Coordinator
 	// leaseYielder decides whether this process yields its lease when another node asks for it.
 	leaseYielder election.Yielder
 	// peers are the last known coordinators, and the nodes that last asked this one whether it
@@ -168,10 +168,10 @@
 		Logger: logger.Named("gateway"), Observe: n.metrics.observeRequest, OnMayHaveStarted: n.countStarted,
 	})
 	adapter.ObserveStore(n.observeStore)
-	n.jobs = joblog.NewLogs(joblog.Options{
+	n.jobLogs = joblog.NewLogs(joblog.Options{
 		Log: adapter.Log(), Partitions: options.Settings.Store.Partitions, Logger: logger.Named("joblog"),
 	})
-	n.jobReader = newJobReader(n.jobs, n.metrics.observeJobRead, n.metrics.jobReadsMisread.Inc, logger.Named("jobs"))
+	n.jobReadRouter = newJobReadRouter(n.jobLogs, n.metrics.observeJobRead, n.metrics.jobReadsMisread.Inc, logger.Named("jobs"))
 	n.servers = serverlist.New(serverlist.Options{
 		Log: adapter.Log(), Directory: n.directory, Logger: logger.Named("servers"), MinReadInterval: listMinInterval, ReadWait: listPollWait,
 		Decode: adapter.Server, Digest: adapter.ServerDigest,
@@ -179,7 +179,7 @@
 		Established: n.coordinatorEstablished, OnChange: n.notifyServersChanged, SharedServices: n.sharedServices, LeaveBound: time.Duration(options.Settings.LeaveBoundMs) * time.Millisecond,
 	})
 	n.coordinator = coordinator.New(coordinator.Options{
-		Engines: adapter.Engines(), CrashTracker: n.crashTracker, Rewards: &rewardCaller{gateway: n.gateway, logger: logger.Named("reward")}, Log: adapter.Log(), Jobs: n.jobs, Directory: n.directory,
+		Engines: adapter.Engines(), CrashTracker: n.crashTracker, Rewards: &rewardCaller{gateway: n.gateway, logger: logger.Named("reward")}, Log: adapter.Log(), JobLogs: n.jobLogs, Directory: n.directory,
 		OrderPause: time.Duration(options.Settings.OrderPauseMs) * time.Millisecond,
 		Fenced:     options.Settings.FencingEnforced,
 		Logger:     logger.Named("coordinator"),
@@ -205,7 +205,7 @@
 	defer internal.Close()
 	var background conc.WaitGroup
 	calls := rpc.NewServer()
-	if err := errors.Join(liveness.Register(calls, n.processID(), n), jobread.Register(calls, n.jobReader), usage.Register(calls, n.options.Adapter.Log()),
+	if err := errors.Join(liveness.Register(calls, n.processID(), n), jobread.Register(calls, n.jobReadRouter), usage.Register(calls, n.options.Adapter.Log()),
 		storeproxy.Register(calls, storeproxy.NewProxy(n.options.Adapter.Log(), &n.peers)), crashwatch.Register(calls, n.crashTracker), nodestatus.Register(calls, n),
 		fanout.Register(calls, n.operatorCache)); err != nil {
 		return err
@@ -246,7 +246,7 @@
 	background.Go(func() { clock.Watch(ctx, n.logger) })
 	background.Go(func() { n.servers.Run(ctx) })
 	background.Go(func() { n.crashTracker.Run(ctx) })
-	background.Go(func() { n.jobs.Run(ctx) })
+	background.Go(func() { n.jobLogs.Run(ctx) })
 	background.Go(func() { n.coordinator.Run(ctx) })
 	background.Go(func() {
 		election.Run(ctx, election.Options{
--- a/internal/frontend/service.go
+++ b/internal/frontend/service.go
@@ -148,16 +148,16 @@
 		}
 	})
 	defer stop()
-	return n.jobs.Append(call, jobID, records)
+	return n.jobLogs.Append(call, jobID, records)
 }
 
 // Results returns the results of a batch job from a position on. If there are none yet, it polls
 // for up to wait.
 func (n *Node) Results(ctx context.Context, job batch.JobKey, from int, wait time.Duration) (total int, results []batch.Result, verdict Verdict) {
-	return n.jobReader.results(ctx, job, from, wait)
+	return n.jobReadRouter.results(ctx, job, from, wait)
 }
 
 // ItemBody returns the body of an item that has no result yet.
 func (n *Node) ItemBody(ctx context.Context, job batch.JobKey, itemID string) (body []byte, verdict Verdict) {
-	return n.jobReader.itemBody(ctx, job, itemID)
+	return n.jobReadRouter.itemBody(ctx, job, itemID)
 }
--- a/internal/frontend/usage.go
+++ b/internal/frontend/usage.go
@@ -50,7 +50,7 @@
 
 // forwardUsage asks the coordinator to append a usage record that this node couldn't append.
 func (n *Node) forwardUsage(ctx context.Context, record []byte) error {
-	address := n.jobReader.forwardTarget()
+	address := n.jobReadRouter.forwardTarget()
 	if address == "" {
 		return errNoCoordinator
 	}
--- a/internal/joblog/catchup.go
+++ b/internal/joblog/catchup.go
@@ -31,12 +31,12 @@
 // trimmed them, the read was restarted after them, or the index was not read completely.
 var errMayBeUnread = errors.New("job may be in records that this node has not read")
 
-// absence is the conclusion to draw if a job was not found in a partition.
-type absence int
+// absenceVerdict is the conclusion to draw if a job was not found in a partition.
+type absenceVerdict int
 
 const (
 	// absenceUncertain: the job may be in records that were not read.
-	absenceUncertain absence = iota
+	absenceUncertain absenceVerdict = iota
 	// absenceUnlessIndexed: the job does not exist unless it is in the index.
 	absenceUnlessIndexed
 	// absenceCertain: the job does not exist.
@@ -44,7 +44,7 @@
 )
 
 // absence returns the conclusion to draw if a job is not found now. The caller holds the mutex.
-func (p *partition) absence() absence {
+func (p *partition) absence() absenceVerdict {
 	switch {
 	case p.recordsTrimmed:
 		return absenceUncertain
@@ -56,14 +56,14 @@
 }
 
 // viewFromStart is viewCaughtUp for a job that may be anywhere: it reads the partition from its start.
-func (p *partition) viewFromStart(ctx context.Context, jobID string, satisfied Condition, visit func(*batch.State)) error {
+func (p *partition) viewFromStart(ctx context.Context, jobID string, condition Condition, visit func(*batch.State)) error {
 	if ctx.Err() != nil {
 		return errors.Join(ErrUncertain, ctx.Err())
 	}
 	p.readFromStart()
 	uncertain := false
-	err := p.viewCaughtUp(ctx, jobID, satisfied, func(state *batch.State, absence absence) {
-		if uncertain = state == nil && absence != absenceCertain; !uncertain {
+	err := p.viewCaughtUp(ctx, jobID, condition, func(state *batch.State, verdict absenceVerdict) {
+		if uncertain = state == nil && verdict != absenceCertain; !uncertain {
 			visit(state)
 		}
 	})
@@ -85,9 +85,9 @@
 }
 
 // viewCaughtUp calls visit with a job's state once the condition is satisfied or the partition was
-// read to its current end. If the state is nil, absence is the conclusion to draw.
-func (p *partition) viewCaughtUp(ctx context.Context, jobID string, satisfied Condition, visit func(state *batch.State, absence absence)) error {
-	err := p.catchUp(ctx, func() bool { return p.satisfies(jobID, satisfied) }, func() { visit(p.fold.Job(jobID), p.absence()) })
+// read to its current end. If the state is nil, the verdict is the conclusion to draw.
+func (p *partition) viewCaughtUp(ctx context.Context, jobID string, condition Condition, visit func(state *batch.State, verdict absenceVerdict)) error {
+	err := p.catchUp(ctx, func() bool { return p.satisfies(jobID, condition) }, func() { visit(p.fold.Job(jobID), p.absence()) })
 	if err != nil {
 		return errors.Join(ErrUncertain, err)
 	}
--- a/internal/joblog/ended_jobs_test.go
+++ b/internal/joblog/ended_jobs_test.go
@@ -231,7 +231,7 @@
 	})
 }
 
-func cachedJobs(readers *jobReaders) (jobs, bytes int) {
+func cachedJobs(readers *singleJobReaders) (jobs, bytes int) {
 	readers.mutex.Lock()
 	defer readers.mutex.Unlock()
 	for _, reader := range readers.byJob {
--- a/internal/joblog/joblog.go
+++ b/internal/joblog/joblog.go
@@ -31,13 +31,13 @@
 type Logs struct {
 	options    Options
 	partitions []*partition
-	readers    *jobReaders
+	readers    *singleJobReaders
 	background conc.WaitGroup
 }
 
 // NewLogs returns Logs that do not read any partition yet.
 func NewLogs(options Options) *Logs {
-	l := &Logs{options: options, readers: newJobReaders()}
+	l := &Logs{options: options, readers: newSingleJobReaders()}
 	for number := range options.Partitions {
 		l.partitions = append(l.partitions, newPartition(options, number))
 	}
@@ -106,8 +106,8 @@
 // View calls visit with a job's state, nil if the log holds no such job. It reads the store
 // until the condition is satisfied or all records that were in the job's partition when View
 // was called have been read. It returns ErrUncertain if they could not be read.
-func (l *Logs) View(ctx context.Context, jobID string, satisfied Condition, visit func(*batch.State)) error {
-	err := l.ViewFollowed(ctx, jobID, satisfied, visit)
+func (l *Logs) View(ctx context.Context, jobID string, condition Condition, visit func(*batch.State)) error {
+	err := l.ViewFollowed(ctx, jobID, condition, visit)
 	if !errors.Is(err, ErrNotFollowed) {
 		return err
 	}
@@ -115,11 +115,11 @@
 	start, known := p.findStart(ctx, jobID)
 	switch {
 	case known:
-		return l.readers.readerFor(p, jobID, start).view(ctx, satisfied, visit)
+		return l.readers.readerFor(p, jobID, start).view(ctx, condition, visit)
 	case !p.followed():
-		return p.viewFromStart(ctx, jobID, satisfied, visit)
+		return p.viewFromStart(ctx, jobID, condition, visit)
 	}
-	if err := p.scan(ctx, jobID, satisfied, visit); err != nil {
+	if err := p.scan(ctx, jobID, condition, visit); err != nil {
 		return errors.Join(ErrUncertain, err)
 	}
 	return nil
@@ -127,18 +127,18 @@
 
 // ViewCached calls visit with a job's state if the known state satisfies the condition,
 // and reports whether it did. It does not read the store.
-func (l *Logs) ViewCached(jobID string, satisfied Condition, visit func(*batch.State)) bool {
-	if l.viewFollowedCached(jobID, satisfied, visit) {
+func (l *Logs) ViewCached(jobID string, condition Condition, visit func(*batch.State)) bool {
+	if l.viewFollowedCached(jobID, condition, visit) {
 		return true
 	}
 	reader := l.readers.lookUp(jobID)
-	return reader != nil && reader.viewCached(satisfied, visit)
+	return reader != nil && reader.viewCached(condition, visit)
 }
 
 // viewFollowedCached is ViewCached for jobs of followed partitions.
-func (l *Logs) viewFollowedCached(jobID string, satisfied Condition, visit func(*batch.State)) bool {
+func (l *Logs) viewFollowedCached(jobID string, condition Condition, visit func(*batch.State)) bool {
 	p := l.partitions[l.PartitionOf(jobID)]
-	if !p.visitIf(jobID, satisfied, visit) {
+	if !p.visitIf(jobID, condition, visit) {
 		return false
 	}
 	p.touch()
@@ -155,8 +155,8 @@
 // ViewFollowed is View for a node that already follows all open jobs of the partition; it never
 // restarts a read. It returns ErrNotFollowed if this node does not follow them, and for a job
 // that ended before the offset from which the partition is read.
-func (l *Logs) ViewFollowed(ctx context.Context, jobID string, satisfied Condition, visit func(*batch.State)) error {
-	if l.viewFollowedCached(jobID, satisfied, visit) {
+func (l *Logs) ViewFollowed(ctx context.Context, jobID string, condition Condition, visit func(*batch.State)) error {
+	if l.viewFollowedCached(jobID, condition, visit) {
 		return nil
 	}
 	p := l.partitions[l.PartitionOf(jobID)]
@@ -164,9 +164,9 @@
 		return ErrNotFollowed
 	}
 	visited, outcome := false, absenceUncertain
-	err := p.viewCaughtUp(ctx, jobID, satisfied, func(state *batch.State, absence absence) {
-		outcome = absence
-		if visited = state != nil || absence == absenceCertain; visited {
+	err := p.viewCaughtUp(ctx, jobID, condition, func(state *batch.State, verdict absenceVerdict) {
+		outcome = verdict
+		if visited = state != nil || verdict == absenceCertain; visited {
 			visit(state)
 		}
 	})
@@ -189,13 +189,13 @@
 
 // ViewIndexed is View for a job that is followed or indexed: it reads only the job's own section of
 // the partition. For any other job it returns ErrUncertain.
-func (l *Logs) ViewIndexed(ctx context.Context, jobID string, satisfied Condition, visit func(*batch.State)) error {
-	if l.ViewCached(jobID, satisfied, visit) {
+func (l *Logs) ViewIndexed(ctx context.Context, jobID string, condition Condition, visit func(*batch.State)) error {
+	if l.ViewCached(jobID, condition, visit) {
 		return nil
 	}
 	p := l.partitions[l.PartitionOf(jobID)]
 	if p.knows(jobID) {
-		if err := l.ViewFollowed(ctx, jobID, satisfied, visit); !errors.Is(err, ErrNotFollowed) {
+		if err := l.ViewFollowed(ctx, jobID, condition, visit); !errors.Is(err, ErrNotFollowed) {
 			return err
 		}
 	}
@@ -206,7 +206,7 @@
 	if err != nil {
 		return errors.Join(ErrUncertain, err)
 	}
-	return l.readers.readerFor(p, jobID, start).view(ctx, satisfied, visit)
+	return l.readers.readerFor(p, jobID, start).view(ctx, condition, visit)
 }
 
 // WaitFor waits until a job has more than count results, has ended, or the
@@ -234,9 +234,9 @@
 	// HandleOpenFrom is called when all jobs that begin before an offset have ended. All of them
 	// were delivered as accepted or are in the index.
 	HandleOpenFrom(partition int, openFrom int64)
-	// HandleCaughtUp is called when the partition was read to its end by a call that
-	// began at since.
-	HandleCaughtUp(partition int, since time.Time)
+	// HandleCaughtUp is called when the partition was read to its end by a call sent at
+	// requestedAt.
+	HandleCaughtUp(partition int, requestedAt time.Time)
 }
 
 // Subscribe follows a partition for a subscriber until the term ends, replacing an earlier
--- a/internal/joblog/partition.go
+++ b/internal/joblog/partition.go
@@ -125,10 +125,10 @@
 	return p.fold.Job(jobID) != nil
 }
 
-func (p *partition) visitIf(jobID string, satisfied Condition, visit func(*batch.State)) bool {
+func (p *partition) visitIf(jobID string, condition Condition, visit func(*batch.State)) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	if !p.satisfies(jobID, satisfied) {
+	if !p.satisfies(jobID, condition) {
 		return false
 	}
 	visit(p.fold.Job(jobID))
@@ -136,8 +136,8 @@
 }
 
 // satisfies reports whether the known state of a job satisfies a condition. The caller holds the mutex.
-func (p *partition) satisfies(jobID string, satisfied Condition) bool {
-	return satisfied(p.fold.Job(jobID), clock.Since(p.caughtUpAsOf) < MaxStaleness)
+func (p *partition) satisfies(jobID string, condition Condition) bool {
+	return condition(p.fold.Job(jobID), clock.Since(p.caughtUpAsOf) < MaxStaleness)
 }
 
 func (p *partition) addWaiters(change int) {
--- a/internal/joblog/scan.go
+++ b/internal/joblog/scan.go
@@ -16,7 +16,7 @@
 
 // scan reads a partition once for a job that may be anywhere, from its start until the condition is
 // satisfied or the partition ends. It does not change the followed state.
-func (p *partition) scan(ctx context.Context, jobID string, satisfied Condition, visit func(*batch.State)) error {
+func (p *partition) scan(ctx context.Context, jobID string, condition Condition, visit func(*batch.State)) error {
 	ctx, cancel := context.WithTimeout(ctx, catchUpTimeout)
 	defer cancel()
 	fold, done, next, trimmed := batch.NewJobFold(jobID), false, int64(0), false
@@ -28,7 +28,7 @@
 				p.logger.Error("invalid record skipped", zap.Stringer("partition", p.at), zap.Int64("offset", record.Offset), zap.Error(err))
 			}
 		}
-		done = satisfied(fold.Job(jobID), false)
+		done = condition(fold.Job(jobID), false)
 		return !done
 	})
 	switch {
--- a/internal/joblog/job_reader.go
+++ b/internal/joblog/single_job_reader.go
@@ -16,18 +16,18 @@
 	"dalehook/internal/store"
 )
 
-// jobReader reads one indexed job from its start to its end for callers of this node. It reads
+// singleJobReader reads one indexed job from its start to its end for callers of this node. It reads
 // while there are requests, and nothing after the job's end. It serves jobs that ended before the
 // coordinator's term, at every node that receives a request, and open jobs while no coordinator is
 // known.
-type jobReader struct {
+type singleJobReader struct {
 	log    store.Log
 	at     store.Partition
 	jobID  string
 	from   int64
 	logger *zap.Logger
 	// readers holds all job readers of this node.
-	readers *jobReaders
+	readers *singleJobReaders
 
 	mutex sync.Mutex
 	// changed is closed and replaced whenever a field below changes.
@@ -50,7 +50,7 @@
 
 // view calls visit with the job's state once the condition is satisfied, the job has ended, or the
 // partition was read to its current end.
-func (r *jobReader) view(ctx context.Context, satisfied Condition, visit func(*batch.State)) error {
+func (r *singleJobReader) view(ctx context.Context, condition Condition, visit func(*batch.State)) error {
 	ctx, cancel := context.WithTimeout(ctx, catchUpTimeout)
 	defer cancel()
 	requestedAt := clock.Now()
@@ -59,7 +59,7 @@
 		state := r.fold.Job(r.jobID)
 		caughtUp := !r.caughtUpAsOf.Before(requestedAt)
 		switch {
-		case state != nil && (caughtUp || r.satisfies(satisfied)):
+		case state != nil && (caughtUp || r.satisfies(condition)):
 			visit(state)
 			return true
 		case caughtUp:
@@ -82,10 +82,10 @@
 }
 
 // viewCached calls visit if the records read so far satisfy the condition, and reports whether it did.
-func (r *jobReader) viewCached(satisfied Condition, visit func(*batch.State)) bool {
+func (r *singleJobReader) viewCached(condition Condition, visit func(*batch.State)) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if !r.satisfies(satisfied) {
+	if !r.satisfies(condition) {
 		return false
 	}
 	r.lastRequestedAt = clock.Now()
@@ -95,17 +95,17 @@
 
 // satisfies reports whether the records read so far satisfy a condition. An ended job always does,
 // since no records follow its end. The caller holds the mutex.
-func (r *jobReader) satisfies(satisfied Condition) bool {
-	return r.endedLocked() || satisfied(r.fold.Job(r.jobID), clock.Since(r.caughtUpAsOf) < MaxStaleness)
+func (r *singleJobReader) satisfies(condition Condition) bool {
+	return r.endedLocked() || condition(r.fold.Job(r.jobID), clock.Since(r.caughtUpAsOf) < MaxStaleness)
 }
 
-func (r *jobReader) endedLocked() bool {
+func (r *singleJobReader) endedLocked() bool {
 	state := r.fold.Job(r.jobID)
 	return state != nil && state.Ended
 }
 
 // waitFor waits until the job has more than count results, has ended, or the context ends.
-func (r *jobReader) waitFor(ctx context.Context, count int) {
+func (r *singleJobReader) waitFor(ctx context.Context, count int) {
 	r.addWaiters(1)
 	defer r.addWaiters(-1)
 	requestedAt := clock.Now()
@@ -119,14 +119,14 @@
 	})
 }
 
-func (r *jobReader) addWaiters(change int) {
+func (r *singleJobReader) addWaiters(change int) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.waiters += change
 }
 
 // waitUntil waits until condition returns true; condition is called with the mutex held.
-func (r *jobReader) waitUntil(ctx context.Context, condition func() bool) bool {
+func (r *singleJobReader) waitUntil(ctx context.Context, condition func() bool) bool {
 	for {
 		r.mutex.Lock()
 		holds, changed := condition(), r.changed
@@ -145,7 +145,7 @@
 // requestRead starts or prolongs reading for a caller. Reading continues after the caller has left:
 // over a low-bandwidth link the caller may time out before a read ends, and the next caller uses
 // its records. The caller holds the mutex.
-func (r *jobReader) requestRead(requestedAt time.Time) {
+func (r *singleJobReader) requestRead(requestedAt time.Time) {
 	if requestedAt.After(r.lastRequestedAt) {
 		r.lastRequestedAt = requestedAt
 	}
@@ -155,7 +155,7 @@
 }
 
 // run reads pages while there are requests.
-func (r *jobReader) run(ctx context.Context) {
+func (r *singleJobReader) run(ctx context.Context) {
 	for {
 		err := r.readPage(ctx)
 		if !r.shouldContinue(err) {
@@ -168,7 +168,7 @@
 }
 
 // readPage reads the next page.
-func (r *jobReader) readPage(ctx context.Context) error {
+func (r *singleJobReader) readPage(ctx context.Context) error {
 	next, wait := r.nextRead()
 	if wait == 0 {
 		select {
@@ -193,7 +193,7 @@
 	return nil
 }
 
-func (r *jobReader) readLog(ctx context.Context, next int64, wait time.Duration) (store.Batch, error) {
+func (r *singleJobReader) readLog(ctx context.Context, next int64, wait time.Duration) (store.Batch, error) {
 	if wait > 0 {
 		return r.log.Read(ctx, r.at, next, wait)
 	}
@@ -202,7 +202,7 @@
 
 // nextRead returns the offset of the next read and how long the store may hold it, which is 0
 // unless callers wait for new records.
-func (r *jobReader) nextRead() (next int64, wait time.Duration) {
+func (r *singleJobReader) nextRead() (next int64, wait time.Duration) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if r.waiters > 0 && !r.caughtUpAsOf.IsZero() {
@@ -213,7 +213,7 @@
 
 // noteFailure records the failure of a read requested at requestedAt. If the store has trimmed
 // records, results may be among them.
-func (r *jobReader) noteFailure(err error, requestedAt time.Time) error {
+func (r *singleJobReader) noteFailure(err error, requestedAt time.Time) error {
 	var trimmed *store.TrimmedError
 	if errors.As(err, &trimmed) {
 		err = errors.Join(errMayBeUnread, err)
@@ -226,7 +226,7 @@
 }
 
 // apply applies the records of a read requested at requestedAt.
-func (r *jobReader) apply(read store.Batch, requestedAt time.Time) {
+func (r *singleJobReader) apply(read store.Batch, requestedAt time.Time) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	for _, record := range read.Records {
@@ -248,7 +248,7 @@
 
 // shouldContinue reports whether to read on after a read that ended with err, which may be nil. If
 // not, the next request starts reading again.
-func (r *jobReader) shouldContinue(err error) bool {
+func (r *singleJobReader) shouldContinue(err error) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.active = !r.endedLocked() && r.readers.ctx.Err() == nil && (r.waiters > 0 || r.hasUnansweredRequests(err))
@@ -257,14 +257,14 @@
 
 // hasUnansweredRequests reports whether there are requests that the last read, which ended with err
 // or nil, does not answer. The caller holds the mutex.
-func (r *jobReader) hasUnansweredRequests(err error) bool {
+func (r *singleJobReader) hasUnansweredRequests(err error) bool {
 	if err != nil {
 		return r.lastRequestedAt.After(r.lastErrAt)
 	}
 	return r.caughtUpAsOf.Before(r.lastRequestedAt) && clock.Since(r.lastRequestedAt) < idleTimeout
 }
 
-func (r *jobReader) notify() {
+func (r *singleJobReader) notify() {
 	close(r.changed)
 	r.changed = make(chan struct{})
 }
@@ -283,8 +283,8 @@
 	maxConcurrentReads = 3
 )
 
-// jobReaders holds the jobs that are being read or cached for callers of this node.
-type jobReaders struct {
+// singleJobReaders holds the jobs that are being read or cached for callers of this node.
+type singleJobReaders struct {
 	// slots bounds the concurrent reads: if many shared a low-bandwidth link evenly, all would
 	// finish too late.
 	slots chan struct{}
@@ -293,7 +293,7 @@
 	cancel context.CancelFunc
 
 	mutex sync.Mutex
-	byJob map[string]*jobReader
+	byJob map[string]*singleJobReader
 
 	// startMutex guards closed; no goroutine is added to background once that is set. It may be
 	// locked while the mutex of a reader is held.
@@ -302,13 +302,13 @@
 	closed     bool
 }
 
-func newJobReaders() *jobReaders {
+func newSingleJobReaders() *singleJobReaders {
 	ctx, cancel := context.WithCancel(context.Background())
-	return &jobReaders{slots: make(chan struct{}, maxConcurrentReads), ctx: ctx, cancel: cancel, byJob: make(map[string]*jobReader)}
+	return &singleJobReaders{slots: make(chan struct{}, maxConcurrentReads), ctx: ctx, cancel: cancel, byJob: make(map[string]*singleJobReader)}
 }
 
 // start runs a function in the background unless the readers are closed, and reports whether it did.
-func (j *jobReaders) start(run func(context.Context)) bool {
+func (j *singleJobReaders) start(run func(context.Context)) bool {
 	j.startMutex.Lock()
 	defer j.startMutex.Unlock()
 	if j.closed {
@@ -319,7 +319,7 @@
 }
 
 // close stops all reads and waits for them to end.
-func (j *jobReaders) close() {
+func (j *singleJobReaders) close() {
 	j.startMutex.Lock()
 	j.closed = true
 	j.startMutex.Unlock()
@@ -328,7 +328,7 @@
 }
 
 // readerFor returns the reader of a job that begins at an offset of a partition, creating it if needed.
-func (j *jobReaders) readerFor(p *partition, jobID string, from int64) *jobReader {
+func (j *singleJobReaders) readerFor(p *partition, jobID string, from int64) *singleJobReader {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
 	if existing := j.byJob[jobID]; existing != nil && existing.from == from {
@@ -337,7 +337,7 @@
 	if len(j.byJob) == 0 {
 		time.AfterFunc(jobRetention, j.evictPeriodically)
 	}
-	reader := &jobReader{
+	reader := &singleJobReader{
 		log: p.log, at: p.at, jobID: jobID, from: from, next: from, logger: p.logger, readers: j,
 		changed: make(chan struct{}), fold: batch.NewJobFold(jobID), lastRequestedAt: clock.Now(),
 	}
@@ -348,14 +348,14 @@
 }
 
 // lookUp returns the reader of a job, or nil.
-func (j *jobReaders) lookUp(jobID string) *jobReader {
+func (j *singleJobReaders) lookUp(jobID string) *singleJobReader {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
 	return j.byJob[jobID]
 }
 
 // evictPeriodically evicts idle readers and reschedules itself while any reader remains.
-func (j *jobReaders) evictPeriodically() {
+func (j *singleJobReaders) evictPeriodically() {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
 	j.evictLocked()
@@ -366,7 +366,7 @@
 
 // evictLocked evicts the readers that have been idle for longer than jobRetention, and then the
 // least recently requested ones until the cache is within its limit. Active readers are kept.
-func (j *jobReaders) evictLocked() {
+func (j *singleJobReaders) evictLocked() {
 	total := 0
 	for jobID, reader := range j.byJob {
 		idle, bytes := reader.idle()
@@ -388,7 +388,7 @@
 
 // longestIdle returns the least recently requested job that is not being read, and its size; empty
 // if there is none.
-func (j *jobReaders) longestIdle() (jobID string, bytes int) {
+func (j *singleJobReaders) longestIdle() (jobID string, bytes int) {
 	var longest time.Duration
 	for id, reader := range j.byJob {
 		if idle, size := reader.idle(); idle > longest {
@@ -400,7 +400,7 @@
 
 // idle returns the time since the last request for a job, 0 while it is being read, and the size of
 // its cached records.
-func (r *jobReader) idle() (idle time.Duration, bytes int) {
+func (r *singleJobReader) idle() (idle time.Duration, bytes int) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if !r.active && r.waiters == 0 {
--- a/internal/joblog/subscription.go
+++ b/internal/joblog/subscription.go
@@ -91,7 +91,7 @@
 func (p *partition) handleChange(change batch.Change, offset int64) {
 	if change.Accepted != nil {
 		change.Accepted.Start = p.messageOffset
-		if p.isDuplicate(change.Accepted.Job.ID) {
+		if p.startsBeforeFollowedLocked(change.Accepted.Job.ID) {
 			p.fold.Drop(change.Accepted.Job.ID)
 			return
 		}
@@ -110,12 +110,12 @@
 func (p *partition) startsBeforeFollowed(jobID string) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	return p.isDuplicate(jobID)
+	return p.startsBeforeFollowedLocked(jobID)
 }
 
-// isDuplicate reports whether a job begins before the offset at which the read began, so that a copy
-// found later is a duplicate. The caller holds the mutex.
-func (p *partition) isDuplicate(jobID string) bool {
+// startsBeforeFollowedLocked is startsBeforeFollowed for callers that hold the mutex. A copy of such a
+// job that is found later is a duplicate.
+func (p *partition) startsBeforeFollowedLocked(jobID string) bool {
 	if p.from == 0 {
 		return false
 	}
--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/ledger.go
@@ -97,8 +97,8 @@
 	endsByRequest    map[Fingerprint]map[directory.Incarnation]End
 	requestsByServer map[directory.Incarnation]map[Fingerprint]bool
 	count            int
-	// confirmed are the requests whose proof has stood for a while. It then stands until a response
-	// clears it: later ends of other requests say nothing about the earlier ends.
+	// confirmed are the requests whose proof is confirmed. They remain held until they are cleared,
+	// for example by a response: later ends of other requests say nothing about the earlier ends.
 	confirmed map[Fingerprint]bool
 	// node is the node that holds the ledger.
 	node string
--- a/internal/scheduler/loads.go
+++ b/internal/scheduler/loads.go
@@ -15,8 +15,8 @@
 const loadRetryDelay = 400 * time.Millisecond
 
 // assignModels assigns a model to each engine, which loads the new versions of that model. Engines
-// are shared between the models of a service in proportion to their tokens per step, and keep their model while
-// the shares do not change.
+// are shared between the models of a service in proportion to their tokens per step, and keep their
+// model while the shares do not change.
 func (m *Machine) assignModels() {
 	byService := make(map[string][]*engine)
 	for _, eng := range m.sortedEngines() {
--- a/internal/scheduler/machine.go
+++ b/internal/scheduler/machine.go
@@ -145,11 +145,11 @@
 	}
 }
 
-// HandlePartitionRead records that a partition was read to its end by a call that started at
-// since.
-func (m *Machine) HandlePartitionRead(now time.Time, partition int, since time.Time) {
+// HandlePartitionRead records that a partition was read to its end by a call sent at
+// requestedAt.
+func (m *Machine) HandlePartitionRead(now time.Time, partition int, requestedAt time.Time) {
 	stale := now.Sub(m.lastRead[partition]) > m.options.FreshnessLimit
-	m.lastRead[partition] = since
+	m.lastRead[partition] = requestedAt
 	if stale {
 		m.schedule(now)
 	}
--- a/internal/serverlist/direct.go
+++ b/internal/serverlist/direct.go
@@ -31,7 +31,7 @@
 	}
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.sizeKnown, l.tooLarge = true, more
+	l.sizeKnown, l.exceedsPage = true, more
 }
 
 // readFirstPages reads the newest entries of at least the first directReadLimit servers; more is set if
@@ -95,19 +95,19 @@
 	defer cancel()
 	leading := l.options.Leading()
 	from, known, versions := l.beginHeartbeats(leading)
-	mostBytes := 0
+	maxBytes := 0
 	if l.readsTentatively(leading) {
-		mostBytes = tentativeReadBytes
+		maxBytes = tentativeReadBytes
 	}
 	l.options.Logger.Info("list read from heartbeats", zap.Bool("leading", leading), zap.Bool("known", known), zap.Int64("offset", from))
 	var watch conc.WaitGroup
 	watch.Go(func() { l.stopWhenRelayed(ctx, cancel, versions) })
 	follow.Keyed(ctx, follow.KeyedOptions{
 		Log: l.options.Log, Topic: store.TopicServers, MinInterval: l.options.MinReadInterval, Wait: l.options.ReadWait, Logger: l.options.Logger,
-		Replace: l.replaceServers, Change: l.applyEntries, From: from, FromKnown: known, MaxBytes: mostBytes,
+		Replace: l.replaceServers, Change: l.applyEntries, From: from, FromKnown: known, MaxBytes: maxBytes,
 		OnRead: func(next int64, end bool, _ time.Time) {
 			l.recordHeartbeatRead(next, end)
-			if l.readsTentatively(leading) && l.stopIfTooLarge() {
+			if l.readsTentatively(leading) && l.stopIfPageExceeded() {
 				cancel()
 			}
 		},
@@ -124,16 +124,16 @@
 	return !leading && !l.hasRelayLocked() && !l.mustStartRelayLocked(clock.Now())
 }
 
-// stopIfTooLarge stops the reading of heartbeats if more servers have appeared than fit a page, and reports
+// stopIfPageExceeded stops the reading of heartbeats if more servers have appeared than fit a page, and reports
 // whether it did: the list is then taken from the relay.
-func (l *List) stopIfTooLarge() bool {
+func (l *List) stopIfPageExceeded() bool {
 	count := l.options.Directory.Snapshot().Count()
 	if count < directReadLimit {
 		return false
 	}
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.tooLarge, l.readsHeartbeats, l.hasBase, l.complete = true, false, false, false
+	l.exceedsPage, l.readsHeartbeats, l.hasFullList, l.complete = true, false, false, false
 	l.options.Logger.Info("list too long to be read by each node", zap.Int("servers", count))
 	return true
 }
@@ -145,11 +145,11 @@
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.readsHeartbeats = true
-	if !l.hasBase && l.hasRelayLocked() {
-		l.hasBase, l.nextOffset = true, l.relay.heartbeatOffset
+	if !l.hasFullList && l.hasRelayLocked() {
+		l.hasFullList, l.nextOffset = true, l.relay.heartbeatOffset
 		l.options.Directory.Replace(l.relay.listServers())
 	}
-	known = l.hasBase && (l.hasVersions || !leading)
+	known = l.hasFullList && (l.hasVersions || !leading)
 	return l.nextOffset, known, l.hasVersions || !known
 }
 
@@ -169,7 +169,7 @@
 // adoptRelay replaces the directory by the relayed list.
 func (l *List) adoptRelay() {
 	l.mutex.Lock()
-	l.readsHeartbeats, l.hasVersions, l.hasBase, l.complete = false, false, true, true
+	l.readsHeartbeats, l.hasVersions, l.hasFullList, l.complete = false, false, true, true
 	l.nextOffset = l.relay.heartbeatOffset
 	next, servers := l.nextOffset, l.relay.listServers()
 	l.options.Directory.Replace(servers)
@@ -190,7 +190,7 @@
 	l.options.Directory.Replace(servers)
 	l.options.Logger.Info("list of servers read", zap.Int("servers", len(servers)))
 	l.mutex.Lock()
-	l.hasBase, l.hasVersions = true, true
+	l.hasFullList, l.hasVersions = true, true
 	l.mutex.Unlock()
 	l.options.OnChange()
 }
--- a/internal/serverlist/fleet_test.go
+++ b/internal/serverlist/fleet_test.go
@@ -44,7 +44,7 @@
 	startBound = 10 * time.Second
 	// recoveryBound is the time after an outage within which all nodes must know what changed.
 	recoveryBound = 2 * time.Second
-	// leaveBound is the time after which a leaving server must get no more requests.
+	// leaveBound is the time after which a draining server must get no more requests.
 	leaveBound = 2 * time.Second
 )
 
--- a/internal/serverlist/follow.go
+++ b/internal/serverlist/follow.go
@@ -22,9 +22,9 @@
 	records []*relayRecord
 }
 
-// runRelay follows the relay of a large fleet. In a small fleet it is read once, too, since a node that
+// runRelayReader follows the relay of a large fleet. In a small fleet it is read once, too, since a node that
 // starts does not know the size of the fleet.
-func (l *List) runRelay(ctx context.Context) {
+func (l *List) runRelayReader(ctx context.Context) {
 	pace := follow.Pacer{Max: maxRelayReadDelay, Retry: relayRetryDelay}
 	outage := follow.Outage{Logger: l.options.Logger}
 	for ctx.Err() == nil {
--- a/internal/serverlist/mode.go
+++ b/internal/serverlist/mode.go
@@ -41,7 +41,10 @@
 	ModeRelay
 )
 
-// Mode returns how the list is kept up to date now.
+// Mode returns how the list is kept up to date now. A list is complete only if hasFullList is set, too: until
+// then there is no mode. Afterwards the heartbeats are read while readsHeartbeats is set, and the relay is
+// followed while it is not. If the list turns out to exceed a page while it is read tentatively, all three are
+// reset, and it is taken from the relay.
 func (l *List) Mode() Mode {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -60,13 +63,13 @@
 	count := l.options.Directory.Snapshot().Count()
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	return l.tooLarge || max(count, l.relay.totalServers) >= l.options.LargeFleetSize
+	return l.exceedsPage || max(count, l.relay.totalServers) >= l.options.LargeFleetSize
 }
 
 // hasRelayLocked reports whether a relay publishes the list of a large fleet. The relay of a small fleet
 // that was large before is not followed.
 func (l *List) hasRelayLocked() bool {
-	return l.relay.servers != nil && (l.tooLarge || l.relay.totalServers >= l.options.LargeFleetSize)
+	return l.relay.servers != nil && (l.exceedsPage || l.relay.totalServers >= l.options.LargeFleetSize)
 }
 
 // checkPause returns the time until the next check of how the list is read.
@@ -88,7 +91,7 @@
 	switch {
 	case l.complete && !large:
 		return true
-	case !l.hasRelayLocked() && !l.tooLarge:
+	case !l.hasRelayLocked() && !l.exceedsPage:
 		// There is no relay, and the list fitted a page; it may still grow.
 		return l.sizeKnown
 	case l.readsHeartbeats:
@@ -97,10 +100,10 @@
 		// The relay is followed. Few nodes are early to replace it.
 		return l.relaySilenceLocked() > l.staleAge()+l.takeoverJitter()
 	case !l.hasRelayLocked():
-		return l.mustStartRelayLocked(now) || now.Sub(l.startedAt) > bootRelayTimeout+l.jitter(bootJitter)
+		return l.mustStartRelayLocked(now) || now.Sub(l.startedAt) > firstRelayTimeout+l.jitter(firstRelayJitter)
 	}
 	// A snapshot was read, but no changes were published since.
-	return l.relayCaughtUp && now.Sub(l.relayCaughtUpAt) > startRelayTimeout+l.takeoverJitter() && l.relaySilenceLocked() > l.staleAge()
+	return l.relayCaughtUp && now.Sub(l.relayCaughtUpAt) > relayRecordTimeout+l.takeoverJitter() && l.relaySilenceLocked() > l.staleAge()
 }
 
 // mustStartRelayLocked reports whether this node is to read the heartbeats of a running fleet whose list
@@ -108,7 +111,7 @@
 // relays for the others of its build. The nodes of a fleet that has just started wait for its first
 // coordinator instead.
 func (l *List) mustStartRelayLocked(now time.Time) bool {
-	return l.options.Established() && l.relayCaughtUp && now.Sub(l.relayCaughtUpAt) > startRelayTimeout+l.takeoverJitter()
+	return l.options.Established() && l.relayCaughtUp && now.Sub(l.relayCaughtUpAt) > relayRecordTimeout+l.takeoverJitter()
 }
 
 // jitter returns this node's share of an interval within which nodes start to read heartbeats.
@@ -126,10 +129,10 @@
 func (l *List) needsSize(now time.Time) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if l.sizeKnown || l.hasBase || l.hasRelayLocked() {
+	if l.sizeKnown || l.hasFullList || l.hasRelayLocked() {
 		return false
 	}
-	return l.relayCaughtUp || now.Sub(l.startedAt) > startRelayTimeout
+	return l.relayCaughtUp || now.Sub(l.startedAt) > relayRecordTimeout
 }
 
 // canAdoptRelay reports whether the directory is to be taken from the relay: it does not follow the relay
--- a/internal/serverlist/relay.go
+++ b/internal/serverlist/relay.go
@@ -13,9 +13,10 @@
 	// snapshotInterval is the time between two snapshots. It is the longest time a node that starts waits for a
 	// snapshot if the store has lost the last one.
 	snapshotInterval = 2 * time.Second
-	// deputyFactor is the factor by which a node that is not the coordinator publishes less often. The next
-	// record must not be overdue by then.
-	deputyFactor = 1.4
+	// substituteIntervalFactor is the factor by which a node that is not the coordinator publishes less often:
+	// 1.4 times publishIntervalShare is 0.35 of the leave bound, below staleShare, 0.45, so that its next record
+	// is not overdue.
+	substituteIntervalFactor = 1.4
 )
 
 // relay folds the records of the relay and creates new ones. It does no I/O.
@@ -155,7 +156,7 @@
 	interval, minGap := r.interval, r.minGap
 	if !state.leading {
 		// The coordinator publishes first, so that a node that relays in its place reads its records and stops.
-		interval, minGap = time.Duration(deputyFactor*float64(interval)), time.Duration(deputyFactor*float64(minGap))
+		interval, minGap = time.Duration(substituteIntervalFactor*float64(interval)), time.Duration(substituteIntervalFactor*float64(minGap))
 	}
 	if r.servers != nil && now.Sub(r.lastRecordAt) < minGap {
 		return nil
--- a/internal/serverlist/relay_test.go
+++ b/internal/serverlist/relay_test.go
@@ -282,28 +282,28 @@
 // Guards against two publishers: a node that had relayed while there was no coordinator kept publishing
 // beside it, each of its records arriving just before the coordinator's next one was due. The coordinator's
 // records must come first, whichever node checks first.
-func TestCoordinatorPublishesBeforeDeputy(t *testing.T) {
+func TestCoordinatorPublishesBeforeSubstitute(t *testing.T) {
 	l := newRelayLog(t, testServer("a", false))
-	coordinator, deputy := newRelay("x", relayInterval, 0), newRelay("y", relayInterval, 0)
-	l.publish(&deputy, 1)
+	coordinator, substitute := newRelay("x", relayInterval, 0), newRelay("y", relayInterval, 0)
+	l.publish(&substitute, 1)
 	l.read(&coordinator)
 	published := map[string]int{}
 	for range 100 {
 		l.now = l.now.Add(relayInterval / 5)
 		state := l.state(1)
 		state.leading = false
-		if records := deputy.nextRecords(l.now, state); len(records) > 0 {
+		if records := substitute.nextRecords(l.now, state); len(records) > 0 {
 			l.records = append(l.records, records...)
-			l.read(&deputy)
-			published["deputy"]++
+			l.read(&substitute)
+			published["substitute"]++
 		}
 		l.read(&coordinator)
 		if l.publish(&coordinator, 1) != nil {
 			published["coordinator"]++
 		}
-		l.read(&deputy)
+		l.read(&substitute)
 	}
-	if published["deputy"] > 0 || published["coordinator"] < 15 {
+	if published["substitute"] > 0 || published["coordinator"] < 15 {
 		t.Errorf("records published: %v", published)
 	}
 }
--- a/internal/serverlist/serverlist.go
+++ b/internal/serverlist/serverlist.go
@@ -7,8 +7,8 @@
 // relay carries only the servers of services that all nodes use, changes go to all nodes, and snapshots are
 // read only by nodes that start. docs/design/fleet.md has the costs as formulas and the measurements.
 //
-// mode.go decides how the list is read, direct.go reads the heartbeats, follow.go the relay; relay.go folds
-// and creates its records (record.go), publish.go appends them.
+// List decides how the list is read, reads the heartbeats or the relay, and publishes the relay's records;
+// the type relay folds and creates these.
 package serverlist
 
 import (
@@ -50,7 +50,7 @@
 	SharedServices func() func(service string) bool
 	// LargeFleetSize is the number of servers at and above which the list is relayed.
 	LargeFleetSize int
-	// LeaveBound is the time after which a leaving server must get no more requests; 0 selects
+	// LeaveBound is the time after which a draining server must get no more requests; 0 selects
 	// DefaultLeaveBound. The relay's intervals are fractions of it.
 	LeaveBound time.Duration
 	// MinReadInterval is the shortest time between two reads of the heartbeats, ReadWait how long a read waits
@@ -73,18 +73,18 @@
 	// relayReadAt; zero while they fail.
 	relayReadableSince, relayReadAt time.Time
 	startedAt                       time.Time
-	// sizeKnown is set once it is known whether the whole list fits a page of the store; tooLarge is set if it
-	// does not.
-	sizeKnown, tooLarge bool
+	// sizeKnown is set once it is known whether the whole list fits a page of the store; exceedsPage is set if
+	// it does not.
+	sizeKnown, exceedsPage bool
 	// snapshots holds what was read of the snapshots.
 	snapshots snapshotReader
 	// snapshotStarts holds the offsets at which the changes after the last snapshots begin; only the publisher
 	// uses it.
 	snapshotStarts []int64
-	// hasBase is set once the directory holds the whole list as of some time, complete once it was brought up
+	// hasFullList is set once the directory holds the whole list as of some time, complete once it was brought up
 	// to date. readsHeartbeats is set while this node reads the heartbeats itself; nextOffset is the offset up
 	// to which the directory reflects them.
-	hasBase         bool
+	hasFullList     bool
 	complete        bool
 	readsHeartbeats bool
 	nextOffset      int64
@@ -117,12 +117,12 @@
 	// in a small fleet, where the list is always read in the same way.
 	checkInterval           = 100 * time.Millisecond
 	smallFleetCheckInterval = time.Second
-	// bootRelayTimeout is how long a node of a large fleet without a relay waits for one before it reads all
+	// firstRelayTimeout is how long a node of a large fleet without a relay waits for the first one before it reads all
 	// heartbeats. The first coordinator takes about 3 s, and 1,000 nodes that read 10,000 entries each would
-	// use the full read capacity of a store for 40 s. Such nodes start reading within bootJitter, only a few of
+	// use the full read capacity of a store for 40 s. Such nodes start reading within firstRelayJitter, only a few of
 	// them early.
-	bootRelayTimeout = 6 * time.Second
-	bootJitter       = 6 * time.Second
+	firstRelayTimeout = 6 * time.Second
+	firstRelayJitter  = 6 * time.Second
 	// jitterExponent makes early nodes rare: a fraction x of all nodes starts within x to this power of a
 	// jitter interval. Of 1,000 nodes one starts within 0.35 of it, and ten within 0.5.
 	jitterExponent = 0.15
@@ -146,12 +146,12 @@
 	// directReadLimit is the number of servers at and above which a node waits for the relay of a fleet that
 	// has none yet: as many as fit a page of the list.
 	directReadLimit = 500
-	// startRelayTimeout is how long a node that starts waits for new records of an existing relay before it
+	// relayRecordTimeout is how long a node that starts waits for new records of an existing relay before it
 	// reads heartbeats; a jitter is added per node.
-	startRelayTimeout = 300 * time.Millisecond
+	relayRecordTimeout = 300 * time.Millisecond
 )
 
-// DefaultLeaveBound is the time after which a leaving server must get no more requests.
+// DefaultLeaveBound is the time after which a draining server must get no more requests.
 const DefaultLeaveBound = 2 * time.Second
 
 // The relay's intervals as fractions of the leave bound: with a longer bound, all nodes are woken less
@@ -186,7 +186,7 @@
 	l.mutex.Unlock()
 	var background conc.WaitGroup
 	background.Go(func() { l.runHeartbeats(ctx) })
-	background.Go(func() { l.runRelay(ctx) })
+	background.Go(func() { l.runRelayReader(ctx) })
 	background.Go(func() { l.runPublisher(ctx) })
 	background.Wait()
 }
--- a/internal/serverlist/serverlist_test.go
+++ b/internal/serverlist/serverlist_test.go
@@ -297,7 +297,7 @@
 		Log: storetest.NewMemory(), Directory: kept, Logger: zap.NewNop(), Decode: decodeTestEntry, Digest: xxhash.Sum64,
 		Self: "late", Leading: func() bool { return false }, OnChange: func() {}, LargeFleetSize: 1,
 	})
-	list.relayCaughtUp, list.hasBase, list.complete, list.readsHeartbeats = true, true, true, true
+	list.relayCaughtUp, list.hasFullList, list.complete, list.readsHeartbeats = true, true, true, true
 	list.relay.handleRecord(time.Now(), 0, &relayRecord{Author: "other", First: true, All: true, Total: 1, Put: []relayEntry{{ID: "i-001", Service: "s"}}}, false)
 	ctx, cancel := context.WithTimeout(context.Background(), list.staleAge()/2)
 	defer cancel()
