--- a/cmd/dalehook-node/status.go
+++ b/cmd/dalehook-node/status.go
@@ -64,7 +64,7 @@
 
 func writeStatus(results, shown []nodestatus.NodeResult) error {
 	writer := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(writer, "address\tnode\tbuild\tready\tcoordinates\tconfiguration\tread ago\tservers\tread ago")
+	fmt.Fprintln(writer, "address\tnode\tbuild\tready\tcoordinates\tconfiguration\tconfiguration age\tservers\tlist age")
 	builds := make(map[string]int)
 	for _, result := range results {
 		if result.Err == nil {
--- a/internal/batch/job.go
+++ b/internal/batch/job.go
@@ -1,5 +1,8 @@
 // Package batch defines batch jobs and their records in the store: the accepted job, its results
 // in log order, and its end. All nodes that read a partition build the same state.
+//
+// A trainer is a caller that trains a model: in each step it submits one job and waits for WantedGroups
+// complete groups.
 package batch
 
 import (
--- a/internal/batch/progress.go
+++ b/internal/batch/progress.go
@@ -45,8 +45,8 @@
 	LastID   string
 	Text     []string
 	Versions []int64
-	// Whole is set if the text is complete.
-	Whole bool
+	// Complete is set if the text is complete.
+	Complete bool
 }
 
 // ProgressFold joins the progress records of items. A record that is not a checkpoint only counts
@@ -77,6 +77,6 @@
 	partial.LastID = progress.LastID
 	partial.Text = append(partial.Text, progress.Text)
 	partial.Versions = MergeVersions(partial.Versions, progress.Versions)
-	partial.Whole = progress.Whole
+	partial.Complete = progress.Whole
 	return nil
 }
--- a/internal/coordinator/load.go
+++ b/internal/coordinator/load.go
@@ -16,13 +16,16 @@
 const (
 	// engineCallTimeout bounds a call to an engine.
 	engineCallTimeout = time.Second
-	// firstLoadPoll is the delay before the first poll of an accepted load.
+	// firstLoadPoll is the delay before the first poll of an accepted load. A load takes about a second,
+	// so that earlier polls would find it in progress.
 	firstLoadPoll = 960 * time.Millisecond
 	// loadPollInterval is the time between later polls.
 	loadPollInterval = 60 * time.Millisecond
-	// loadTimeout bounds a load, including the wait for its completion.
+	// loadTimeout bounds a load, including the wait for its completion, for which its place in the load
+	// window is taken.
 	loadTimeout = 8 * time.Second
-	// unknownOrderDelay is the delay before the first poll after an order without an answer.
+	// unknownOrderDelay is the delay before the first poll after an order without an answer, which the
+	// engine may still execute.
 	unknownOrderDelay = 500 * time.Millisecond
 )
 
--- a/internal/coordinator/output.go
+++ b/internal/coordinator/output.go
@@ -98,7 +98,7 @@
 // recordRunEnd reports the end of a run to the crash tracker, before the item is queued for its next run.
 func (c *Coordinator) recordRunEnd(start scheduler.Start, began time.Time, reason scheduler.EndReason, progressed bool) {
 	tracker := c.options.CrashTracker
-	fingerprint := scheduler.Fingerprint(start.Tenant, start.Host, start.Item)
+	fingerprint := scheduler.ItemFingerprint(start.Tenant, start.Host, start.Item)
 	switch reason {
 	case scheduler.EndBroken:
 		tracker.RecordBreak(fingerprint, directory.Server{
--- a/internal/coordinator/progress.go
+++ b/internal/coordinator/progress.go
@@ -17,7 +17,8 @@
 	// recoverTimeout bounds the read of a partition's saved progress, for which the partition's
 	// jobs wait. It allows for a slow machine behind a low-bandwidth link.
 	recoverTimeout = 2500 * time.Millisecond
-	// progressRetention is how long saved progress is useful.
+	// progressRetention is how long saved progress is useful: a running item gets a new checkpoint
+	// earlier, after the checkpointInterval of package scheduler.
 	progressRetention = 5 * time.Second
 	// trimInterval is the time between two trims of a partition.
 	trimInterval = time.Second
--- a/internal/election/machine.go
+++ b/internal/election/machine.go
@@ -362,6 +362,8 @@
 // After a release the youngest processes claim first: in a rolling restart they are the ones that are not
 // stopped next.
 const (
+	// claimDelayDivisor divides the age of a process into the time for which it leaves a released lease to
+	// younger ones, at most maxClaimDelay: processes from 40 s of age on wait equally long.
 	claimDelayDivisor = 100
 	maxClaimDelay     = 400 * time.Millisecond
 )
--- a/internal/election/run.go
+++ b/internal/election/run.go
@@ -16,14 +16,19 @@
 
 // Timing of calls to the store.
 const (
-	// The holder reads often enough to renew in time. Followers wait for its next renewal, and read as often as
-	// the holder while it is suspect.
-	holderReadWait   = 200 * time.Millisecond
+	// holderReadWait is how long the store may hold a read of the holder, which renews between two reads.
+	holderReadWait = 200 * time.Millisecond
+	// followerReadWait is how long the store may hold a read of the others, which wait for the next renewal.
+	// They read as often as the holder while it is suspect.
 	followerReadWait = 600 * time.Millisecond
-	readTimeout      = 1300 * time.Millisecond
-	appendTimeout    = 450 * time.Millisecond
-	retryDelay       = 100 * time.Millisecond
-	maxReadDelay     = time.Second
+	// readTimeout bounds a read and appendTimeout an append. With a RenewInterval of 500 ms the sum is 2.25 s,
+	// less than TTL - SafetyMargin, 2.3 s (package frontend): a single read that times out before a renewal does
+	// not cost the holder its lease.
+	readTimeout   = 1300 * time.Millisecond
+	appendTimeout = 450 * time.Millisecond
+	// retryDelay is the delay after a failed step, maxReadDelay the longest while the store throttles reads.
+	retryDelay   = 100 * time.Millisecond
+	maxReadDelay = time.Second
 	// A holder that may have to yield takes up to yieldWait to answer.
 	probeTimeout = yieldWait + 150*time.Millisecond
 )
--- a/internal/fanout/fetch.go
+++ b/internal/fanout/fetch.go
@@ -11,7 +11,8 @@
 )
 
 const (
-	// maxRedirects bounds the consecutive calls: five levels of fanOutDegree reach 32,000 nodes.
+	// maxRedirects bounds the consecutive calls: five levels of fanOutDegree reach 32,000 nodes; the other three
+	// calls are for redirections to nodes that do not answer.
 	maxRedirects = 8
 	// callTimeout bounds a call. It exceeds serveTimeout because the answer shares a link with those to other
 	// nodes.
--- a/internal/frontend/access.go
+++ b/internal/frontend/access.go
@@ -15,7 +15,7 @@
 	caller, admitted := table.Admit(route, key)
 	fields := []zap.Field{zap.String("request", requestID), zap.String("route", route.Name)}
 	if !admitted {
-		n.recordKeyRefusal(table, missingKeyRefusal(key), fields...)
+		n.recordKeyRefusal(table, unadmittedKeyRefusal(key), fields...)
 		return caller, VerdictKeyUnknown
 	}
 	if table.Tenants != nil && !route.Public && n.keysStale(clock.Now()) {
@@ -34,7 +34,7 @@
 	}
 	tenantName, admitted := table.AdmitToJobs(host, key)
 	if !admitted {
-		n.recordKeyRefusal(table, missingKeyRefusal(key), zap.String("host", host))
+		n.recordKeyRefusal(table, unadmittedKeyRefusal(key), zap.String("host", host))
 		return "", VerdictKeyUnknown
 	}
 	if tenantName != "" && n.keysStale(clock.Now()) {
@@ -62,8 +62,8 @@
 	keyStale keyRefusal = "not sure"
 )
 
-// missingKeyRefusal returns why a key that no tenant has is refused.
-func missingKeyRefusal(key string) keyRefusal {
+// unadmittedKeyRefusal returns why a missing key, or one that no tenant has, is refused.
+func unadmittedKeyRefusal(key string) keyRefusal {
 	if key == "" {
 		return keyMissing
 	}
--- a/internal/frontend/service.go
+++ b/internal/frontend/service.go
@@ -16,7 +16,7 @@
 	"dalehook/internal/store"
 )
 
-// Verdict is the result of a call about a batch job.
+// Verdict is the result of a call about a batch job, or of the admission of any request.
 type Verdict int
 
 const (
--- a/internal/gateway/balancer.go
+++ b/internal/gateway/balancer.go
@@ -12,16 +12,19 @@
 
 // Parameters of server selection.
 const (
-	// failureBackoff is how long a server is avoided after an attempt failed.
+	// failureBackoff is how long a server is avoided after an attempt failed. A longer one leaves a
+	// recovered server unused; a shorter one costs requests attempts at a server that still fails.
 	failureBackoff = 700 * time.Millisecond
 	// overloadBackoff is how long a server is avoided after it rejected an attempt or answered with
-	// a 5xx status.
+	// a 5xx status. A longer one shifts more load to the other servers.
 	overloadBackoff = 30 * time.Millisecond
-	// latencySmoothing is the weight of the newest sample in the moving average of latencies.
+	// latencySmoothing is the weight of the newest sample in the moving average of latencies. A larger
+	// one notices slow servers sooner, but avoids a server after a single slow response.
 	latencySmoothing = 0.15
 	// initialLatency is assumed for a server that has no latency sample yet.
 	initialLatency = 25 * time.Millisecond
-	// crossZoneFactor raises the cost of servers in other zones.
+	// crossZoneFactor raises the cost of servers in other zones: these are used once the servers of this
+	// zone cost 1.3 times as much.
 	crossZoneFactor = 1.3
 	// backoffFactor makes servers in backoff the last choice.
 	backoffFactor = 1000
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -74,7 +74,8 @@
 	// defaultDeadline bounds requests that state no deadline.
 	defaultDeadline = 30 * time.Second
 	// hedgeFraction is the fraction of the latency target after which a repeatable request is also
-	// sent to a second server.
+	// sent to a second server. A larger one leaves that server less time to meet the target; a smaller
+	// one sends more requests twice.
 	hedgeFraction = 0.4
 	// cancelGrace is how long an attempt whose response is no longer needed may go on, so that its
 	// connection can be reused.
--- a/internal/reward/queue.go
+++ b/internal/reward/queue.go
@@ -8,8 +8,9 @@
 
 // Limits of reward calls.
 const (
-	// sendTimeout limits one send. Together with the maximum age of the job data when a call is
-	// sent, it stays below the time after which an ended job must cause no more calls.
+	// sendTimeout limits one send. Together with the maximum age of the job data when a call is sent,
+	// scheduler.DefaultFreshnessLimit, it is 2.8 s. That stays below the time after the end of a job
+	// from which on the job must cause no more calls.
 	sendTimeout = time.Second
 	// initialBackoff is the delay after the first send without a score. It doubles up to
 	// maxBackoff.
@@ -40,7 +41,7 @@
 	partition int
 	// completedAt is when the item's text was complete.
 	completedAt time.Time
-	giveUpAt    time.Time
+	expiresAt   time.Time
 	sendCount   int
 	failures    int
 	// backoff is the current delay between sends; the next send starts at notBefore or later.
@@ -77,12 +78,12 @@
 func (q *Queue) HandleSlots(slots map[string]int) { q.slots = slots }
 
 // Add adds the call of an item whose text is complete. partition is the partition of the item's
-// job. No send starts after giveUpAt, unless it is zero.
-func (q *Queue) Add(now time.Time, item Item, call *Call, partition int, giveUpAt time.Time) {
+// job. No send starts after expiresAt, unless it is zero.
+func (q *Queue) Add(now time.Time, item Item, call *Call, partition int, expiresAt time.Time) {
 	if q.items[item] != nil {
 		return
 	}
-	added := &pending{item: item, call: call, partition: partition, completedAt: now, giveUpAt: giveUpAt}
+	added := &pending{item: item, call: call, partition: partition, completedAt: now, expiresAt: expiresAt}
 	q.items[item] = added
 	q.waiting = append(q.waiting, added)
 }
@@ -125,8 +126,8 @@
 		return Send{}, false
 	}
 	deadline := now.Add(sendTimeout)
-	if !next.giveUpAt.IsZero() && next.giveUpAt.Before(deadline) {
-		deadline = next.giveUpAt
+	if !next.expiresAt.IsZero() && next.expiresAt.Before(deadline) {
+		deadline = next.expiresAt
 	}
 	q.route(next)
 	capacity, inFlight := q.capacity(next.service), q.inFlight[next.service]
--- a/internal/scheduler/assign.go
+++ b/internal/scheduler/assign.go
@@ -51,7 +51,7 @@
 		}
 		chosen := m.chooseOrRestart(now, next, engines, medians[next.service])
 		if chosen == nil {
-			// Version pinning and isolation of suspects restrict this item only: later items may
+			// Version pinning and isolation restrict this item only: later items may
 			// still find an engine.
 			full = len(owner.route.Targets) <= 1 && !next.isPinnedToVersion() && m.suspicion(next).Ends == 0
 			waiting = append(waiting, next)
@@ -140,10 +140,10 @@
 		if !m.canRun(now, next, candidate) || patient && candidate.isSlow(now, medianGap) {
 			continue
 		}
-		if suspicion.Ends >= isolationThreshold && m.runsSuspect(candidate) {
+		if suspicion.Ends >= isolationThreshold && m.runsIsolatedItem(candidate) {
 			continue
 		}
-		cost := candidate.cost(now, next) + suspectCost(suspicion, candidate)
+		cost := candidate.cost(now, next) + isolationCost(suspicion, candidate)
 		if best == nil || cost < bestCost {
 			best, bestCost = candidate, cost
 		}
@@ -160,7 +160,7 @@
 		return false
 	}
 	version := candidate.versions[next.job.model]
-	if version < next.job.minimum {
+	if version < next.job.minVersion {
 		return false
 	}
 	return !m.wouldMixVersions(next, version)
@@ -229,7 +229,7 @@
 		Server:        chosen.server,
 		After:         next.lastID,
 		ExpectVersion: expected,
-		Deadline:      next.job.giveUpAt,
+		Deadline:      next.job.expiresAt,
 		Inputs: Inputs{
 			Epoch:    m.options.Epoch,
 			Version:  chosen.versions[next.job.model],
--- a/internal/scheduler/attempts.go
+++ b/internal/scheduler/attempts.go
@@ -23,7 +23,7 @@
 		return
 	}
 	owner := running.item
-	if event.Version < owner.job.minimum || m.wouldMixVersions(owner, event.Version) {
+	if event.Version < owner.job.minVersion || m.wouldMixVersions(owner, event.Version) {
 		running.engine.versions[owner.job.model] = event.Version
 		owner.discardText()
 		m.cancel(running)
@@ -57,7 +57,8 @@
 	gapSampleEvents    = 8
 	minGapSampleEvents = 3
 	gapSampleTime      = 300 * time.Millisecond
-	// gapSmoothing is the weight of the newest sample.
+	// gapSmoothing is the weight of the newest sample. A larger one adapts to an engine's speed faster,
+	// but lets single late events move items.
 	gapSmoothing = 0.35
 )
 
@@ -134,7 +135,7 @@
 	case EndNotExecuted:
 		ended.engine.pausedUntil = now.Add(notExecutedPause)
 	case EndBroken, EndUnreached:
-		ended.engine.pausedUntil = now.Add(m.options.ServerPause)
+		ended.engine.pausedUntil = now.Add(m.options.EnginePause)
 		if ended.events == 0 {
 			ended.engine.unresponsiveAt = now
 		}
@@ -151,7 +152,7 @@
 }
 
 // maxRefusalsInFront is the number of consecutive refusals up to which an item is queued first
-// again. Some refusals only mean that a server is full for a moment.
+// again. Some refusals only mean that an engine is full for a moment.
 const maxRefusalsInFront = 3
 
 // requeue queues an item again: before items that have not started yet, or last after several
@@ -165,7 +166,7 @@
 	i.job.queue = slices.Insert(i.job.queue, 0, i)
 }
 
-// notExecutedPause is how long a server that refused an item gets no more items.
+// notExecutedPause is how long an engine that refused an item gets no more items.
 const notExecutedPause = 50 * time.Millisecond
 
 // recordDead records an item as given up.
@@ -225,7 +226,7 @@
 func (m *Machine) cancelStalled(now time.Time) {
 	for _, running := range m.sortedAttempts() {
 		if !running.cancelled && now.Sub(running.eventsExpectedSince()) > m.options.StallTimeout {
-			running.engine.pausedUntil = now.Add(m.options.ServerPause)
+			running.engine.pausedUntil = now.Add(m.options.EnginePause)
 			running.engine.unresponsiveAt = now
 			m.cancel(running)
 		}
--- a/internal/scheduler/jobs.go
+++ b/internal/scheduler/jobs.go
@@ -20,7 +20,7 @@
 		host:              accepted.Host,
 		path:              accepted.Path,
 		model:             accepted.Model,
-		minimum:           accepted.MinVersion,
+		minVersion:        accepted.MinVersion,
 		partition:         partition,
 		arrival:           m.arrivals,
 		receivedAt:        now,
@@ -72,7 +72,8 @@
 	return recorded
 }
 
-// stepTokensSmoothing is the weight of the newest step in a model's tokens per step.
+// stepTokensSmoothing is the weight of the newest step in a model's tokens per step. A larger one
+// adapts to new demand faster, but reassigns engines for single steps of unusual size.
 const stepTokensSmoothing = 0.4
 
 // observeStepTokens updates the expected tokens per step of a model.
@@ -106,9 +107,9 @@
 	if job.route == nil {
 		return
 	}
-	if job.giveUpAt.IsZero() {
+	if job.expiresAt.IsZero() {
 		// The job may have been read before the configuration with its route.
-		job.giveUpAt = job.receivedAt.Add(job.route.ItemLifetime)
+		job.expiresAt = job.receivedAt.Add(job.route.ItemLifetime)
 	}
 	for id, waiting := range job.items {
 		target, _ := job.route.PickByHash(id)
@@ -148,7 +149,7 @@
 // expireJobs records the unfinished items of expired jobs as dead.
 func (m *Machine) expireJobs(now time.Time) {
 	for _, job := range m.sortedJobs() {
-		if job.giveUpAt.IsZero() || now.Before(job.giveUpAt) {
+		if job.expiresAt.IsZero() || now.Before(job.expiresAt) {
 			continue
 		}
 		for _, waiting := range sortedItems(job) {
--- a/internal/scheduler/loads.go
+++ b/internal/scheduler/loads.go
@@ -11,7 +11,8 @@
 )
 
 // loadRetryDelay is the time between two orders to one engine when the first did not result in the
-// wanted version.
+// wanted version. A longer one leaves the engine longer without the version; a shorter one sends more
+// orders to an engine that can not load it.
 const loadRetryDelay = 400 * time.Millisecond
 
 // assignModels assigns a model to each engine, which loads the new versions of that model. Engines
@@ -77,7 +78,8 @@
 	return targets
 }
 
-// shareTolerance is how many engines a model's share may deviate from its exact proportion.
+// shareTolerance is how many engines a model's share may deviate from its exact proportion before
+// engines are reassigned. It is below 1, so that no model lacks a whole engine.
 const shareTolerance = 0.8
 
 func sharesWithinTolerance(models []string, shares map[string]int, weights map[string]float64, total float64, engines int) bool {
@@ -324,7 +326,7 @@
 // tooOldForWaiting reports whether a waiting job requires a newer version than the engine has.
 func tooOldForWaiting(eng *engine, waiting []*job) bool {
 	for _, job := range waiting {
-		if job.minimum > eng.versions[eng.model] {
+		if job.minVersion > eng.versions[eng.model] {
 			return true
 		}
 	}
--- a/internal/scheduler/loadwindow.go
+++ b/internal/scheduler/loadwindow.go
@@ -4,14 +4,15 @@
 
 // Parameters of the load window.
 const (
-	// shrinkFactor is the share of its limit that a window keeps at least when it shrinks.
-	shrinkFactor = 0.75
+	// minKeptShare is the smallest share of its limit that a window keeps when it shrinks.
+	minKeptShare = 0.75
 	// minConcurrencyShare is the share of the window that must be in use for a slow load to shrink
 	// it. Below it, the load was slow because of its server or the observing node.
 	minConcurrencyShare = 0.5
 	// slowLoadFactor is the ratio to the fastest load above which a load counts as slow.
 	slowLoadFactor = 1.25
-	// windowRetryDelay is the time after which a size that was too large is tried again.
+	// windowRetryDelay is the time after which a size that was too large is tried again. A longer one
+	// uses added bandwidth later; a shorter one causes more slow loads.
 	windowRetryDelay = 12 * time.Second
 )
 
@@ -23,10 +24,10 @@
 	limit   int
 	// fastest is the shortest load observed, or 0.
 	fastest time.Duration
-	// tooWide is a concurrency at which loads were slow; the window does not grow to it until
+	// slowConcurrency is a concurrency at which loads were slow; the window does not grow to it until
 	// retryAt.
-	tooWide int
-	retryAt time.Time
+	slowConcurrency int
+	retryAt         time.Time
 }
 
 func newLoadWindow(minimum, initial int) *loadWindow {
@@ -43,7 +44,7 @@
 		w.shrink(now, maxConcurrent)
 		return
 	}
-	blocked := now.Before(w.retryAt) && w.limit+1 >= w.tooWide
+	blocked := now.Before(w.retryAt) && w.limit+1 >= w.slowConcurrency
 	if concurrentAtStart >= w.limit && !blocked {
 		w.limit++
 	}
@@ -53,10 +54,10 @@
 	if concurrent <= w.minimum || float64(concurrent) < minConcurrencyShare*float64(w.limit) {
 		return
 	}
-	if now.After(w.retryAt) || concurrent < w.tooWide {
-		w.tooWide = concurrent
+	if now.After(w.retryAt) || concurrent < w.slowConcurrency {
+		w.slowConcurrency = concurrent
 	}
 	w.retryAt = now.Add(windowRetryDelay)
-	narrowed := max(concurrent-1, int(shrinkFactor*float64(w.limit)))
-	w.limit = max(min(w.limit, narrowed), w.minimum)
+	reduced := max(concurrent-1, int(minKeptShare*float64(w.limit)))
+	w.limit = max(min(w.limit, reduced), w.minimum)
 }
--- a/internal/scheduler/machine.go
+++ b/internal/scheduler/machine.go
@@ -61,7 +61,7 @@
 	options.StallTimeout = cmp.Or(options.StallTimeout, DefaultStallTimeout)
 	options.FreshnessLimit = cmp.Or(options.FreshnessLimit, DefaultFreshnessLimit)
 	options.SaveInterval = cmp.Or(options.SaveInterval, DefaultSaveInterval)
-	options.ServerPause = cmp.Or(options.ServerPause, DefaultServerPause)
+	options.EnginePause = cmp.Or(options.EnginePause, DefaultEnginePause)
 	return &Machine{
 		options:        options,
 		jobs:           make(map[string]*job),
--- a/internal/scheduler/move.go
+++ b/internal/scheduler/move.go
@@ -9,9 +9,10 @@
 // Conditions for moving runs to faster engines.
 const (
 	// minLongItemSpeedup is how many times faster the other engine must be for a long item to
-	// move.
+	// move. A smaller gain does not cover the new connection and reading the text again.
 	minLongItemSpeedup = 1.18
-	// minMoveInterval is the shortest time between two moves of an item.
+	// minMoveInterval is the shortest time between two moves of an item, which bounds the share of
+	// its time that moves cost.
 	minMoveInterval = 1200 * time.Millisecond
 	// minEventsBeforeMove is the number of events that a run produces before it may move.
 	minEventsBeforeMove = 3
@@ -21,7 +22,7 @@
 	// slowEngineFactor is the slowdown from which an engine counts as slow and every run leaves
 	// it.
 	slowEngineFactor = 2
-	// maxMovesPerTick limits the moves in one tick.
+	// maxMovesPerTick limits the moves in one tick; the others follow in later ticks.
 	maxMovesPerTick = 8
 )
 
--- a/internal/scheduler/progress.go
+++ b/internal/scheduler/progress.go
@@ -39,7 +39,7 @@
 		return false
 	}
 	waiting.text, waiting.lastID, waiting.versions = partial.Text, partial.LastID, partial.Versions
-	return partial.Whole
+	return partial.Complete
 }
 
 // findRecovered returns the best recovered progress of an item: that of the job itself, or else of
@@ -54,7 +54,7 @@
 		if other == nil || !opened.accepts(other) {
 			continue
 		}
-		if best == nil || !best.Whole && (other.Whole || len(other.Text) > len(best.Text)) {
+		if best == nil || !best.Complete && (other.Complete || len(other.Text) > len(best.Text)) {
 			best = other
 		}
 	}
--- a/internal/scheduler/rewards.go
+++ b/internal/scheduler/rewards.go
@@ -17,7 +17,7 @@
 	}
 	owner.textComplete = true
 	m.saveCheckpoint(now, owner, m.detachedRunName())
-	m.rewards.Add(now, owner.rewardItem(), owner.source.Reward, owner.job.partition, owner.job.giveUpAt)
+	m.rewards.Add(now, owner.rewardItem(), owner.source.Reward, owner.job.partition, owner.job.expiresAt)
 }
 
 // rewardItem returns the key of the item's reward call.
--- a/internal/scheduler/rewards_test.go
+++ b/internal/scheduler/rewards_test.go
@@ -283,7 +283,7 @@
 	}
 	successor := newRewardFixture(t)
 	successor.machine.HandleRecoveredProgress(successor.now, 0, map[string]*batch.Partial{
-		"item-0": {LastID: saved.LastID, Text: []string{saved.Text}, Versions: saved.Versions, Whole: saved.Whole},
+		"item-0": {LastID: saved.LastID, Text: []string{saved.Text}, Versions: saved.Versions, Complete: saved.Whole},
 	})
 	successor.submit("j", 1, "")
 	successor.answer(0, reward.Answer{Score: "again"})
--- a/internal/scheduler/suspicions.go
+++ b/internal/scheduler/suspicions.go
@@ -14,8 +14,8 @@
 // rare, and have to be told apart.
 const isolationThreshold = 2
 
-// Fingerprint identifies an item by its request. It is the same for equal items of different jobs.
-func Fingerprint(tenant, host string, source *batch.Item) quarantine.Fingerprint {
+// ItemFingerprint identifies an item by its request. It is the same for equal items of different jobs.
+func ItemFingerprint(tenant, host string, source *batch.Item) quarantine.Fingerprint {
 	return quarantine.FingerprintOf(quarantine.Identity{
 		Tenant: tenant, Method: http.MethodPost, Host: host, Target: source.Path, Body: source.Body,
 	})
@@ -49,7 +49,7 @@
 		return quarantine.Suspicion{}
 	}
 	if subject.fingerprint == (quarantine.Fingerprint{}) {
-		subject.fingerprint = Fingerprint(subject.job.tenant, subject.job.host, subject.source)
+		subject.fingerprint = ItemFingerprint(subject.job.tenant, subject.job.host, subject.source)
 	}
 	return m.suspicions[subject.fingerprint]
 }
@@ -72,9 +72,9 @@
 	return false
 }
 
-// runsSuspect reports whether an engine runs an isolated item, so that a crash would implicate a
+// runsIsolatedItem reports whether an engine runs an isolated item, so that a crash would implicate a
 // second one.
-func (m *Machine) runsSuspect(candidate *engine) bool {
+func (m *Machine) runsIsolatedItem(candidate *engine) bool {
 	for _, running := range candidate.attempts {
 		if m.suspicion(running.item).Ends >= isolationThreshold {
 			return true
@@ -83,15 +83,15 @@
 	return false
 }
 
-// suspectPenalty is added to the cost of an engine for each of its runs when an isolated item is
+// isolationPenalty is added to the cost of an engine for each of its runs when an isolated item is
 // placed, so that a crash affects few other items. It exceeds the cost differences between engine
 // speeds.
-const suspectPenalty = 1
+const isolationPenalty = 1
 
-// suspectCost rates an engine by the number of runs that a crash would affect.
-func suspectCost(suspicion quarantine.Suspicion, candidate *engine) float64 {
+// isolationCost rates an engine by the number of runs that a crash would affect.
+func isolationCost(suspicion quarantine.Suspicion, candidate *engine) float64 {
 	if suspicion.Ends < isolationThreshold {
 		return 0
 	}
-	return suspectPenalty * float64(len(candidate.attempts))
+	return isolationPenalty * float64(len(candidate.attempts))
 }
--- a/internal/scheduler/suspicions_test.go
+++ b/internal/scheduler/suspicions_test.go
@@ -21,7 +21,7 @@
 func (f *fixture) setSuspicions(suspicions map[string]quarantine.Suspicion) {
 	byFingerprint := make(map[quarantine.Fingerprint]quarantine.Suspicion)
 	for body, suspicion := range suspicions {
-		byFingerprint[Fingerprint("", "h", &batch.Item{Path: "/p/x", Body: []byte(body)})] = suspicion
+		byFingerprint[ItemFingerprint("", "h", &batch.Item{Path: "/p/x", Body: []byte(body)})] = suspicion
 	}
 	f.machine.HandleSuspicions(f.now, byFingerprint)
 	f.take()
--- a/internal/scheduler/types.go
+++ b/internal/scheduler/types.go
@@ -1,6 +1,9 @@
 // Package scheduler decides where and when the items of batch jobs run and when engines load
 // weights. It is a state machine without I/O: inputs are method calls with the current time, and
 // outputs are collected for the driver.
+//
+// An engine is a server that runs the items of batch jobs. An attempt, or run, is the execution of an
+// item by one engine.
 package scheduler
 
 import (
@@ -14,10 +17,10 @@
 	"dalehook/internal/slowstart"
 )
 
-// AttemptID identifies one run of an item at one server.
+// AttemptID identifies an attempt: one run of an item at one engine.
 type AttemptID uint64
 
-// Start asks the driver to run an item at a server.
+// Start asks the driver to run an item at an engine.
 type Start struct {
 	Attempt AttemptID
 	JobID   string
@@ -31,7 +34,7 @@
 	After string
 	// ExpectVersion, if above 0, is the only weight version that may serve the item.
 	ExpectVersion int64
-	// Deadline is when the item may be given up.
+	// Deadline is when the item expires.
 	Deadline time.Time
 	Inputs   Inputs
 }
@@ -79,7 +82,7 @@
 	LoadKeep
 )
 
-// LoadOrder asks the driver to have a server load a weight version.
+// LoadOrder asks the driver to have an engine load a weight version.
 type LoadOrder struct {
 	Server  Server
 	Model   string
@@ -117,11 +120,11 @@
 const (
 	// EndCompleted: the stream ended normally.
 	EndCompleted EndReason = iota
-	// EndNotExecuted: the server did not run the item.
+	// EndNotExecuted: the engine did not run the item.
 	EndNotExecuted
-	// EndFailed: the server answered that the run failed.
+	// EndFailed: the engine answered that the run failed.
 	EndFailed
-	// EndImpossible: the server answered that the item can never run.
+	// EndImpossible: the engine answered that the item can never run.
 	EndImpossible
 	// EndBroken: the connection broke, or the response was invalid.
 	EndBroken
@@ -146,9 +149,9 @@
 
 // LoadResult is the result of a load order.
 type LoadResult struct {
-	// Confirmed is set if the server accepted the order and was seen to carry it out.
+	// Confirmed is set if the engine accepted the order and was seen to carry it out.
 	Confirmed bool
-	// Version is the current version of the server, or 0 if unknown.
+	// Version is the current version of the engine, or 0 if unknown.
 	Version int64
 }
 
@@ -163,22 +166,32 @@
 	StallTimeout time.Duration
 	// FreshnessLimit is the maximum age of a partition's last read for its items to be started.
 	FreshnessLimit time.Duration
-	// ServerPause is how long a server gets no items after a run on it broke or stalled.
-	ServerPause time.Duration
+	// EnginePause is how long an engine gets no items after a run on it broke or stalled.
+	EnginePause time.Duration
 	// SaveInterval is the time between two saves of progress.
 	SaveInterval time.Duration
 }
 
 // Defaults of Options.
 const (
+	// A window never shrinks below DefaultConcurrentLoads, so that one slow load does not hold up all
+	// others.
 	DefaultConcurrentLoads = 2
-	DefaultStallTimeout    = 900 * time.Millisecond
-	DefaultFreshnessLimit  = 1800 * time.Millisecond
-	DefaultServerPause     = 500 * time.Millisecond
-	DefaultSaveInterval    = 400 * time.Millisecond
+	// A longer DefaultStallTimeout keeps items longer on engines that hang; a shorter one moves items
+	// whose events are only late.
+	DefaultStallTimeout = 900 * time.Millisecond
+	// DefaultFreshnessLimit bounds for how long after the end of a job this machine may start its items
+	// and, together with the send timeout of package reward, cause its reward calls.
+	DefaultFreshnessLimit = 1800 * time.Millisecond
+	// A longer DefaultEnginePause leaves the slots of a recovered engine unused; a shorter one costs items
+	// attempts at an engine that has not recovered.
+	DefaultEnginePause = 500 * time.Millisecond
+	// DefaultSaveInterval is about the time whose text is generated again after the loss of the
+	// coordinator. A shorter one appends more records to the store.
+	DefaultSaveInterval = 400 * time.Millisecond
 )
 
-// item is an item without a result in the log.
+// item is the scheduling state of a batch item that has no result in the log, or that is retained.
 type item struct {
 	job    *job
 	source *batch.Item
@@ -221,21 +234,22 @@
 	versions []int64
 }
 
+// job is the scheduling state of an open batch job.
 type job struct {
-	id        string
-	tenant    string
-	host      string
-	path      string
-	model     string
-	minimum   int64
-	partition int
-	route     *routetable.Route
+	id         string
+	tenant     string
+	host       string
+	path       string
+	model      string
+	minVersion int64
+	partition  int
+	route      *routetable.Route
 	// receivedAt is when the job was read.
 	receivedAt time.Time
-	// giveUpAt is when the job's items expire; zero until the job has had a route.
-	giveUpAt time.Time
-	arrival  int
-	items    map[string]*item
+	// expiresAt is when the job's items expire; zero until the job has had a route.
+	expiresAt time.Time
+	arrival   int
+	items     map[string]*item
 	// queue holds the waiting items in the order in which they start.
 	queue []*item
 	// held holds items that are held because they crash engines. They stay here until they are
@@ -249,6 +263,7 @@
 	sources map[string]*batch.Item
 }
 
+// attempt is the state of one run of an item at an engine.
 type attempt struct {
 	id          AttemptID
 	item        *item
@@ -267,6 +282,7 @@
 	cancelled bool
 }
 
+// engine is the state of one incarnation of an engine: its attempts, weight versions, loads and speed.
 type engine struct {
 	server  Server
 	service string
