--- a/internal/frontend/election.go
+++ b/internal/frontend/election.go
@@ -56,7 +56,7 @@
 func (n *Node) observeLease(state election.State) {
 	n.jobReadRouter.observeCoordinator(state.Leading, state.Coordinator)
 	n.electionState.Store(&state)
-	n.peers.Note(state.Coordinator)
+	n.peers.Add(state.Coordinator)
 	n.coordinator.HandleLease(state)
 	n.updateOperatorGuide(state)
 }
@@ -86,4 +86,4 @@
 }
 
 // NoteCaller implements liveness.Holder.
-func (n *Node) NoteCaller(address string) { n.peers.Note(address) }
+func (n *Node) NoteCaller(address string) { n.peers.Add(address) }
