--- a/internal/coordinator/output.go
+++ b/internal/coordinator/output.go
@@ -53,7 +53,7 @@
 		c.options.Logger.Error("progress not encoded", zap.String("item", progress.ItemID), zap.Error(err))
 		return store.Partition{}, nil, false
 	}
-	return store.Partition{Topic: store.TopicProgress, Number: c.options.Jobs.PartitionOf(progress.JobID)}, record, true
+	return store.Partition{Topic: store.TopicProgress, Number: c.options.JobLogs.PartitionOf(progress.JobID)}, record, true
 }
 
 func (c *Coordinator) appendResult(result batch.Result) {
@@ -65,7 +65,7 @@
 	c.options.Observer.ObserveResult(result.Outcome.String())
 	c.options.Logger.Info("item finished", zap.String("job", result.JobID), zap.String("item", result.ItemID),
 		zap.Stringer("outcome", result.Outcome), zap.Int64s("versions", result.Versions), zap.Int64("epoch", c.lease.Epoch))
-	at := store.Partition{Topic: store.TopicJobs, Number: c.options.Jobs.PartitionOf(result.JobID)}
+	at := store.Partition{Topic: store.TopicJobs, Number: c.options.JobLogs.PartitionOf(result.JobID)}
 	c.writer.add(at, records)
 }
 
@@ -83,7 +83,7 @@
 	c.options.Logger.Info("item attempt ended", zap.String("job", start.JobID), zap.String("item", start.Item.ID),
 		zap.String("group", start.Item.Group), zap.Int("events", events),
 		zap.Uint64("attempt", uint64(start.Attempt)), zap.String("server", start.Server.ID), zap.String("after", start.After),
-		zap.Int64("epoch", start.Inputs.Term), zap.Int64("version", start.Inputs.Version),
+		zap.Int64("epoch", start.Inputs.Epoch), zap.Int64("version", start.Inputs.Version),
 		zap.Int("running", start.Inputs.Attempts), zap.Duration("gap", start.Inputs.Gap),
 		zap.Duration("read_age", start.Inputs.ReadAge), zap.Duration("took", clock.Since(began)),
 		zap.Stringer("reason", reason), zap.Error(err))
@@ -95,10 +95,10 @@
 	})
 }
 
-// recordRunEnd reports the end of a run to the quarantine, before the item is queued for its next run.
+// recordRunEnd reports the end of a run to the crash tracker, before the item is queued for its next run.
 func (c *Coordinator) recordRunEnd(start scheduler.Start, began time.Time, reason scheduler.EndReason, progressed bool) {
-	tracker := c.options.Quarantine
-	fingerprint := scheduler.Fingerprint(start.Tenant, start.Host, start.Item)
+	tracker := c.options.CrashTracker
+	fingerprint := scheduler.ItemFingerprint(start.Tenant, start.Host, start.Item)
 	switch reason {
 	case scheduler.EndBroken:
 		tracker.RecordBreak(fingerprint, directory.Server{
--- a/internal/frontend/scaling.go
+++ b/internal/frontend/scaling.go
@@ -23,7 +23,7 @@
 
 // scalingView returns the state of the services whose number of servers is scaled.
 func (n *Node) scalingView() scaling.View {
-	view := scaling.View{ListedServers: make(map[string]map[string]int), OpenItems: n.coordinator.Demand()}
+	view := scaling.View{ListedServers: make(map[string]map[string]int), OpenItems: n.coordinator.UnfinishedItems()}
 	table := n.table.Load()
 	if table == nil {
 		return view
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -26,13 +26,14 @@
 	Node string
 	// Zone is this node's zone; its servers are preferred.
 	Zone string
-	// Quarantine identifies requests that crash servers; nil disables it.
-	Quarantine *crashwatch.Tracker
-	Logger     *zap.Logger
+	// CrashTracker identifies requests that crash servers; nil disables it.
+	CrashTracker *crashwatch.Tracker
+	Logger       *zap.Logger
 	// Observe is called with the outcome of each request.
 	Observe func(Outcome)
-	// OnStarted is called when a server starts to execute a request, with its tenant and the time.
-	OnStarted func(tenantName string, at time.Time)
+	// OnMayHaveStarted is called for each attempt that a server executed or may have executed, with the
+	// request's tenant and the time.
+	OnMayHaveStarted func(tenantName string, at time.Time)
 }
 
 // Outcome describes how a request ended, for metrics.
@@ -56,11 +57,11 @@
 	if options.Observe == nil {
 		options.Observe = func(Outcome) {}
 	}
-	if options.OnStarted == nil {
-		options.OnStarted = func(string, time.Time) {}
+	if options.OnMayHaveStarted == nil {
+		options.OnMayHaveStarted = func(string, time.Time) {}
 	}
-	if options.Quarantine == nil {
-		options.Quarantine = crashwatch.NewTracker(crashwatch.Options{})
+	if options.CrashTracker == nil {
+		options.CrashTracker = crashwatch.NewTracker(crashwatch.Options{})
 	}
 	return &Gateway{options: options, balancer: newBalancer(options.Node, options.Zone)}
 }
@@ -73,7 +74,8 @@
 	// defaultDeadline bounds requests that state no deadline.
 	defaultDeadline = 30 * time.Second
 	// hedgeFraction is the fraction of the latency target after which a repeatable request is also
-	// sent to a second server.
+	// sent to a second server. A larger one leaves that server less time to meet the target; a smaller
+	// one sends more requests twice.
 	hedgeFraction = 0.4
 	// cancelGrace is how long an attempt whose response is no longer needed may go on, so that its
 	// connection can be reused.
@@ -199,7 +201,7 @@
 	if !c.held {
 		return defaultRetryAfter
 	}
-	remaining := clock.Until(c.gateway.options.Quarantine.HoldExpiry(c.fingerprint()))
+	remaining := clock.Until(c.gateway.options.CrashTracker.HoldExpiry(c.fingerprint()))
 	return max(remaining.Truncate(time.Millisecond), minHeldRetryAfter)
 }
 
