--- a/internal/scheduler/move.go
+++ b/internal/scheduler/move.go
@@ -9,7 +9,7 @@
 // Conditions for moving runs to faster engines.
 const (
 	// minLongItemSpeedup is how many times faster the other engine must be for a long item to
-	// move. A smaller gain does not cover the new connection and reading the text again.
+	// move.
 	minLongItemSpeedup = 1.18
 	// minMoveInterval is the shortest time between two moves of an item, which bounds the share of
 	// its time that moves cost.
