--- a/internal/scheduler/assign.go
+++ b/internal/scheduler/assign.go
@@ -160,7 +160,7 @@
 		return false
 	}
 	version := candidate.versions[next.job.model]
-	if version < next.job.minVersion {
+	if version < next.job.minimum {
 		return false
 	}
 	return !m.wouldMixVersions(next, version)
--- a/internal/scheduler/attempts.go
+++ b/internal/scheduler/attempts.go
@@ -23,7 +23,7 @@
 		return
 	}
 	owner := running.item
-	if event.Version < owner.job.minVersion || m.wouldMixVersions(owner, event.Version) {
+	if event.Version < owner.job.minimum || m.wouldMixVersions(owner, event.Version) {
 		running.engine.versions[owner.job.model] = event.Version
 		owner.discardText()
 		m.cancel(running)
--- a/internal/scheduler/jobs.go
+++ b/internal/scheduler/jobs.go
@@ -20,7 +20,7 @@
 		host:              accepted.Host,
 		path:              accepted.Path,
 		model:             accepted.Model,
-		minVersion:        accepted.MinVersion,
+		minimum:           accepted.MinVersion,
 		partition:         partition,
 		arrival:           m.arrivals,
 		receivedAt:        now,
--- a/internal/scheduler/loads.go
+++ b/internal/scheduler/loads.go
@@ -326,7 +326,7 @@
 // tooOldForWaiting reports whether a waiting job requires a newer version than the engine has.
 func tooOldForWaiting(eng *engine, waiting []*job) bool {
 	for _, job := range waiting {
-		if job.minVersion > eng.versions[eng.model] {
+		if job.minimum > eng.versions[eng.model] {
 			return true
 		}
 	}
--- a/internal/scheduler/simulation_test.go
+++ b/internal/scheduler/simulation_test.go
@@ -312,7 +312,7 @@
 	for _, candidate := range s.machine.sortedEngines() {
 		eng := s.engines[candidate.server.ID]
 		free := candidate.listed && eng.up && eng.loading == 0 && len(candidate.attempts) < candidate.slots
-		if free && candidate.service == waiting.service && eng.version >= waiting.job.minVersion {
+		if free && candidate.service == waiting.service && eng.version >= waiting.job.minimum {
 			return true
 		}
 	}
--- a/internal/scheduler/summary.go
+++ b/internal/scheduler/summary.go
@@ -44,7 +44,7 @@
 			}
 		}
 		jobs = append(jobs, JobSummary{
-			ID: job.id, Model: job.model, Minimum: job.minVersion, Newest: m.newestVersions[job.model],
+			ID: job.id, Model: job.model, Minimum: job.minimum, Newest: m.newestVersions[job.model],
 			Waiting: len(job.queue), Running: running, Unfinished: len(job.items), Total: len(job.sources),
 		})
 	}
--- a/internal/scheduler/types.go
+++ b/internal/scheduler/types.go
@@ -236,14 +236,14 @@
 
 // job is the scheduling state of an open batch job.
 type job struct {
-	id         string
-	tenant     string
-	host       string
-	path       string
-	model      string
-	minVersion int64
-	partition  int
-	route      *routetable.Route
+	id        string
+	tenant    string
+	host      string
+	path      string
+	model     string
+	minimum   int64
+	partition int
+	route     *routetable.Route
 	// receivedAt is when the job was read.
 	receivedAt time.Time
 	// expiresAt is when the job's items expire; zero until the job has had a route.
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -73,7 +73,7 @@
 // Record is one entry of a partition.
 type Record struct {
 	Offset int64
-	// Key is empty in topics that are not keyed.
+	// Key is empty in topics without keys.
 	Key string
 	// Value is empty if the record removes its key.
 	Value []byte
