--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -15,10 +15,10 @@
 
 // Controller defaults.
 const (
-	defaultQueueSize      = 1024
-	defaultTotalQueueSize = 4096
-	defaultRetryShare     = 0.1
-	defaultRetryFloor     = 2.0
+	defaultMaxQueueLength      = 1024
+	defaultMaxTotalQueueLength = 4096
+	defaultRetryShare          = 0.1
+	defaultRetryFloor          = 2.0
 
 	minimumRetryAfter = time.Second
 	maximumRetryAfter = 30 * time.Second
@@ -26,9 +26,9 @@
 
 // Options configure a Controller. Zero values take defaults.
 type Options struct {
-	// QueueSize bounds the queue of one service, TotalQueueSize all of them.
-	QueueSize      int
-	TotalQueueSize int
+	// MaxQueueLength bounds the queue of one service, MaxTotalQueueLength all of them.
+	MaxQueueLength      int
+	MaxTotalQueueLength int
 	// RetryShare is the number of retries that one success pays for, RetryFloor
 	// the retries a second that need none.
 	RetryShare float64
@@ -81,11 +81,11 @@
 
 // New returns a controller without limits.
 func New(options Options) *Controller {
-	if options.QueueSize == 0 {
-		options.QueueSize = defaultQueueSize
+	if options.MaxQueueLength == 0 {
+		options.MaxQueueLength = defaultMaxQueueLength
 	}
-	if options.TotalQueueSize == 0 {
-		options.TotalQueueSize = defaultTotalQueueSize
+	if options.MaxTotalQueueLength == 0 {
+		options.MaxTotalQueueLength = defaultMaxTotalQueueLength
 	}
 	if options.RetryShare == 0 {
 		options.RetryShare = defaultRetryShare
@@ -182,10 +182,10 @@
 	}
 	flow.items = append(flow.items, item)
 	c.queued++
-	if len(flow.items) > c.options.QueueSize {
+	if len(flow.items) > c.options.MaxQueueLength {
 		c.dropOldest(flow, machine.CodeOverloaded)
 	}
-	if c.queued > c.options.TotalQueueSize {
+	if c.queued > c.options.MaxTotalQueueLength {
 		c.dropOldest(c.firstToShed(), machine.CodeShed)
 	}
 }
--- a/internal/admission/controller_test.go
+++ b/internal/admission/controller_test.go
@@ -37,7 +37,7 @@
 }
 
 func TestControllerShedsInThePlansOrder(t *testing.T) {
-	c := New(Options{TotalQueueSize: 3})
+	c := New(Options{MaxTotalQueueLength: 3})
 	for _, name := range []string{"lookup", "practice", "save"} {
 		c.Register(name, name)
 	}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -106,7 +106,7 @@
 		Request: request.Options{
 			MostAttempts: limits.MaxAttempts,
 			Deadline:     limits.Deadline,
-			Admission:    admission.Options{QueueSize: limits.MaxQueueLength, RetryShare: limits.RetryShare},
+			Admission:    admission.Options{MaxQueueLength: limits.MaxQueueLength, RetryShare: limits.RetryShare},
 			KeyLifetime:  limits.KeyLifetime,
 			MostAnswer:   int(limits.MaxResponseSize),
 		},
--- a/internal/explain/steps.go
+++ b/internal/explain/steps.go
@@ -19,9 +19,9 @@
 	// Submitted is the time of the job's submission.
 	Submitted time.Time
 	// Ready is the time from submission until all items of the wanted groups were
-	// completed, Listed until the last of these was logged as finished, Ended until
+	// completed, Finished until the last of these was logged as finished, Ended until
 	// the trainer ended the job. Each is 0 if the logs don't show it.
-	Ready, Listed, Ended time.Duration
+	Ready, Finished, Ended time.Duration
 	// Last is the item of the wanted groups that was completed last.
 	Last LastItem
 }
@@ -67,7 +67,7 @@
 	wantedGroups int
 	attempts     map[string][]attempt
 	groups       map[string][]string
-	listed       map[string]time.Time
+	finished     map[string]time.Time
 	ended        time.Time
 }
 
@@ -100,7 +100,7 @@
 	}
 	job := jobs[id]
 	if job == nil {
-		job = &jobLog{attempts: make(map[string][]attempt), groups: make(map[string][]string), listed: make(map[string]time.Time)}
+		job = &jobLog{attempts: make(map[string][]attempt), groups: make(map[string][]string), finished: make(map[string]time.Time)}
 		jobs[id] = job
 	}
 	item := entry.ids["item"]
@@ -115,8 +115,8 @@
 			job.ended = entry.Time
 		}
 	case messageItemFinished:
-		if _, listed := job.listed[item]; !listed {
-			job.listed[item] = entry.Time
+		if _, finished := job.finished[item]; !finished {
+			job.finished[item] = entry.Time
 		}
 	case messageAttemptEnded:
 		if len(job.attempts[item]) == 0 {
@@ -193,8 +193,8 @@
 	timing = j.timing
 	timing.Ready = last.at.Sub(timing.Submitted)
 	timing.Last = newLastItem(last.item, timing.Submitted, j.attempts[last.item], timePerEvent)
-	if at, listed := j.listed[last.item]; listed {
-		timing.Listed = at.Sub(timing.Submitted)
+	if at, finished := j.finished[last.item]; finished {
+		timing.Finished = at.Sub(timing.Submitted)
 	}
 	if !j.ended.IsZero() {
 		timing.Ended = j.ended.Sub(timing.Submitted)
@@ -243,7 +243,7 @@
 		last := timing.Last
 		fmt.Fprintf(table, "%s\t%d\t%s\t%s\t%s\t%d\t%s\t\n", timing.Model, timing.Number, timing.Job, timing.Submitted.Format(clockLayout),
 			timing.formatTimes(), last.Attempts, last.Item)
-		total.Ready, total.Listed, total.Ended = total.Ready+timing.Ready, total.Listed+timing.Listed, total.Ended+timing.Ended
+		total.Ready, total.Finished, total.Ended = total.Ready+timing.Ready, total.Finished+timing.Finished, total.Ended+timing.Ended
 		total.Last.StartDelay, total.Last.IdleTime = total.Last.StartDelay+last.StartDelay, total.Last.IdleTime+last.IdleTime
 		total.Last.RunTime, total.Last.Floor = total.Last.RunTime+last.RunTime, total.Last.Floor+last.Floor
 	}
@@ -255,12 +255,12 @@
 func (t StepTiming) formatTimes() string {
 	seconds := func(duration time.Duration) string { return fmt.Sprintf("%.2f", duration.Seconds()) }
 	return fmt.Sprintf("%s\t%s\t%s\t%s\t%s\t%s\t%s", seconds(t.Last.Floor), seconds(t.Last.StartDelay), seconds(t.Last.IdleTime),
-		seconds(t.Last.RunTime-t.Last.Floor), seconds(t.Ready), seconds(t.Listed), seconds(t.Ended))
+		seconds(t.Last.RunTime-t.Last.Floor), seconds(t.Ready), seconds(t.Finished), seconds(t.Ended))
 }
 
 func (t StepTiming) dividedBy(count int) StepTiming {
 	n := time.Duration(count)
-	return StepTiming{Ready: t.Ready / n, Listed: t.Listed / n, Ended: t.Ended / n, Last: LastItem{
+	return StepTiming{Ready: t.Ready / n, Finished: t.Finished / n, Ended: t.Ended / n, Last: LastItem{
 		StartDelay: t.Last.StartDelay / n, IdleTime: t.Last.IdleTime / n, RunTime: t.Last.RunTime / n, Floor: t.Last.Floor / n,
 	}}
 }
--- a/internal/frontend/endedjobs_bench_test.go
+++ b/internal/frontend/endedjobs_bench_test.go
@@ -123,7 +123,7 @@
 		readers.Wait()
 		stop()
 		stopCoordinator()
-		moreReads, moreBytes := log.Sent()
+		moreReads, moreBytes := log.Traffic()
 		reads, bytes = reads+moreReads, bytes+moreBytes
 	}
 	b.ReportMetric(slowestFirst.Seconds()*1000, "first-ms")
--- a/internal/frontend/metrics.go
+++ b/internal/frontend/metrics.go
@@ -213,10 +213,10 @@
 // ObserveHeld implements crashwatch.Observer.
 func (m *nodeMetrics) ObserveHeld() { m.requestsHeld.Inc() }
 
-func (m *nodeMetrics) observeStore(call string, status int, took time.Duration) {
+func (m *nodeMetrics) observeStore(call string, status int, duration time.Duration) {
 	m.storeCalls.WithLabelValues(call, strconv.Itoa(status)).Inc()
 	if call != longPollCall {
-		m.storeSeconds.WithLabelValues(call).Observe(took.Seconds())
+		m.storeSeconds.WithLabelValues(call).Observe(duration.Seconds())
 	}
 }
 
--- a/internal/frontend/node.go
+++ b/internal/frontend/node.go
@@ -62,8 +62,8 @@
 	// heartbeat.
 	ServerDigest(value []byte) uint64
 	// ObserveStore sets the function that is called after each call to the store, with the call's
-	// name, the status of the answer, 0 for none, and the time it took.
-	ObserveStore(observe func(call string, status int, took time.Duration))
+	// name, the status of the response, 0 for none, and its duration.
+	ObserveStore(observe func(call string, status int, duration time.Duration))
 }
 
 // Provider is the external service that receives usage reports and scaling orders from the holder
--- a/internal/frontend/scaling.go
+++ b/internal/frontend/scaling.go
@@ -15,7 +15,7 @@
 	return scaling.NewDriver(scaling.DriverOptions{
 		Provider: n.options.Adapter.Provider(),
 		Term:     n.term,
-		View:     n.scalingView, Headroom: settings.Scaling.Headroom, MaxServers: settings.Scaling.MostServers,
+		View:     n.scalingView, SlotsPerItem: settings.Scaling.Headroom, MaxServers: settings.Scaling.MostServers,
 		Observe: func(outcome string) { n.metrics.serverOrders.WithLabelValues(outcome).Inc() },
 		Logger:  logger.Named("scaling"),
 	})
--- a/internal/frontend/service.go
+++ b/internal/frontend/service.go
@@ -81,8 +81,8 @@
 }
 
 // observeStore records the result of a call to the store.
-func (n *Node) observeStore(call string, status int, took time.Duration) {
-	n.metrics.observeStore(call, status, took)
+func (n *Node) observeStore(call string, status int, duration time.Duration) {
+	n.metrics.observeStore(call, status, duration)
 	if status >= http.StatusOK && status < http.StatusMultipleChoices {
 		n.storeAnsweredAt.advance(clock.Now())
 	}
--- a/internal/frontend/usage.go
+++ b/internal/frontend/usage.go
@@ -28,7 +28,7 @@
 	log := n.options.Adapter.Log()
 	length := seconds(settings.Usage.WindowSeconds)
 	sender := usage.NewSender(usage.SenderOptions{
-		Log: log, Process: n.processID(), WindowLength: length, Forward: n.forwardUsage, Logger: logger.Named("usage"),
+		Log: log, Process: n.processID(), WindowLength: length, AppendVia: n.forwardUsage, Logger: logger.Named("usage"),
 		OnLost: func(requests int) { n.metrics.usageLost.Add(float64(requests)) },
 	})
 	reporter := usage.NewReporter(usage.ReporterOptions{
--- a/internal/joblog/ended_jobs_test.go
+++ b/internal/joblog/ended_jobs_test.go
@@ -92,7 +92,7 @@
 			t.Errorf("%d results after %v", count, took)
 		}
 		time.Sleep(idleTimeout + readWait)
-		if _, bytes := link.Sent(); bytes > endedJobsBytes*3/2 {
+		if _, bytes := link.Traffic(); bytes > endedJobsBytes*3/2 {
 			t.Errorf("read %d bytes for a job of %d bytes", bytes, endedJobsBytes)
 		}
 	})
@@ -223,9 +223,9 @@
 		if count, _ := readResults(t, logs, endedJob(0), endedJobItems-1); count != 0 {
 			t.Errorf("%d results", count)
 		}
-		before, _ := link.Sent()
+		before, _ := link.Traffic()
 		view()
-		if reads, _ := link.Sent(); reads != before {
+		if reads, _ := link.Traffic(); reads != before {
 			t.Errorf("%d reads for a cached job", reads-before)
 		}
 	})
@@ -257,12 +257,12 @@
 		if _, bytes := cachedJobs(logs.readers); bytes > maxCachedJobBytes+2*endedJobsBytes {
 			t.Errorf("%d bytes cached", bytes)
 		}
-		before, _ := link.Sent()
+		before, _ := link.Traffic()
 		time.Sleep(3 * jobRetention)
 		if jobs, _ := cachedJobs(logs.readers); jobs > 0 {
 			t.Errorf("%d jobs cached", jobs)
 		}
-		if reads, _ := link.Sent(); reads != before {
+		if reads, _ := link.Traffic(); reads != before {
 			t.Errorf("%d reads without a request", reads-before)
 		}
 	})
--- a/internal/scaling/driver.go
+++ b/internal/scaling/driver.go
@@ -39,9 +39,9 @@
 	// Term returns this process's term as holder of the lease, and View its current view.
 	Term func() duty.Term
 	View func() View
-	// Headroom and MaxServers are passed on to the Autoscaler; see Options.
-	Headroom   float64
-	MaxServers int
+	// SlotsPerItem and MaxServers are passed on to the Autoscaler; see Options.
+	SlotsPerItem float64
+	MaxServers   int
 	// Observe is called with the outcome of each order.
 	Observe func(outcome string)
 	Logger  *zap.Logger
@@ -71,7 +71,7 @@
 	}
 	if d.autoscaler == nil || d.epoch != term.Epoch {
 		d.epoch = term.Epoch
-		d.autoscaler = NewAutoscaler(Options{Headroom: d.options.Headroom, MaxServers: d.options.MaxServers, Epoch: term.Epoch})
+		d.autoscaler = NewAutoscaler(Options{SlotsPerItem: d.options.SlotsPerItem, MaxServers: d.options.MaxServers, Epoch: term.Epoch})
 	}
 	now := clock.Now()
 	view := d.options.View()
@@ -92,7 +92,7 @@
 	callCtx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
 	err := d.options.Provider.OrderServers(callCtx, order)
-	outcome := OutcomeTaken
+	outcome := OutcomeAccepted
 	switch {
 	case errors.Is(err, duty.ErrFenced):
 		outcome = OutcomeFenced
--- a/internal/scaling/scaling.go
+++ b/internal/scaling/scaling.go
@@ -36,8 +36,8 @@
 
 // The outcomes of orders.
 const (
-	// OutcomeTaken means that the provider accepted the order.
-	OutcomeTaken Outcome = iota
+	// OutcomeAccepted means that the provider accepted the order. Its label is "taken".
+	OutcomeAccepted Outcome = iota
 	// OutcomeUnknown means that the order may be carried out, possibly later.
 	OutcomeUnknown
 	// OutcomeFenced means that the order was refused because a later holder of the lease has
@@ -50,8 +50,8 @@
 
 // Options configure an Autoscaler.
 type Options struct {
-	// Headroom is the number of slots to provide for each item of the peak demand.
-	Headroom float64
+	// SlotsPerItem is the number of slots to provide for each item of the peak demand.
+	SlotsPerItem float64
 	// MaxServers bounds the number of servers of a service over all zones, in addition to the
 	// bounds of the service; 0 means no such bound.
 	MaxServers int
@@ -59,8 +59,8 @@
 	Epoch int64
 }
 
-// DefaultHeadroom provides one slot per item.
-const DefaultHeadroom = 1.0
+// DefaultSlotsPerItem is the default of Options.SlotsPerItem.
+const DefaultSlotsPerItem = 1.0
 
 const (
 	// scaleDownDelay is how long fewer servers must have sufficed before the number is reduced.
@@ -112,7 +112,7 @@
 
 // NewAutoscaler returns the autoscaler of a term.
 func NewAutoscaler(options Options) *Autoscaler {
-	options.Headroom = cmp.Or(options.Headroom, DefaultHeadroom)
+	options.SlotsPerItem = cmp.Or(options.SlotsPerItem, DefaultSlotsPerItem)
 	return &Autoscaler{options: options, services: make(map[string]*serviceState)}
 }
 
@@ -177,7 +177,7 @@
 		a.fenced = true
 	case order.Count != zone.target:
 		// The target has changed since the order.
-	case outcome == OutcomeTaken:
+	case outcome == OutcomeAccepted:
 		zone.orderAt = time.Time{}
 	default:
 		zone.orderAt = now.Add(retryDelay)
@@ -251,7 +251,7 @@
 	for _, peak := range service.peakItems {
 		maxPeak = max(maxPeak, peak)
 	}
-	needed := int(math.Ceil(float64(maxPeak) * a.options.Headroom / float64(service.Slots)))
+	needed := int(math.Ceil(float64(maxPeak) * a.options.SlotsPerItem / float64(service.Slots)))
 	if a.options.MaxServers > 0 {
 		needed = min(needed, a.options.MaxServers)
 	}
--- a/internal/scaling/scaling_test.go
+++ b/internal/scaling/scaling_test.go
@@ -43,7 +43,7 @@
 		f.autoscaler.HandleDemand(f.now, "pool", open)
 		for _, order := range f.autoscaler.Tick(f.now) {
 			f.orders = append(f.orders, order)
-			f.autoscaler.HandleOutcome(f.now, order, OutcomeTaken)
+			f.autoscaler.HandleOutcome(f.now, order, OutcomeAccepted)
 		}
 	}
 }
--- a/internal/store/storetest/link.go
+++ b/internal/store/storetest/link.go
@@ -23,7 +23,7 @@
 
 	mutex     sync.Mutex
 	busyUntil time.Time
-	answers   int
+	reads     int
 	bytes     int
 }
 
@@ -74,7 +74,7 @@
 func (l *Link) transmit(size int) time.Duration {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.answers++
+	l.reads++
 	l.bytes += size
 	now := time.Now()
 	if l.busyUntil.Before(now) {
@@ -84,9 +84,9 @@
 	return l.busyUntil.Sub(now) + linkLatency
 }
 
-// Sent returns the number of answers transmitted so far, and their total size in bytes.
-func (l *Link) Sent() (reads, bytes int) {
+// Traffic returns the number of reads answered so far, and the total size of the answers in bytes.
+func (l *Link) Traffic() (reads, bytes int) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	return l.answers, l.bytes
+	return l.reads, l.bytes
 }
--- a/internal/store/storetest/shared.go
+++ b/internal/store/storetest/shared.go
@@ -281,7 +281,7 @@
 }
 
 // Trim implements store.Log.
-func (n *SharedNode) Trim(ctx context.Context, at store.Partition, before int64) error {
-	_, err := n.append(ctx, at.Topic, nil, func() (int64, error) { return 0, n.shared.Memory.Trim(ctx, at, before) })
+func (n *SharedNode) Trim(ctx context.Context, partition store.Partition, before int64) error {
+	_, err := n.append(ctx, partition.Topic, nil, func() (int64, error) { return 0, n.shared.Memory.Trim(ctx, partition, before) })
 	return err
 }
--- a/internal/storeproxy/put.go
+++ b/internal/storeproxy/put.go
@@ -22,7 +22,7 @@
 	if request.Topic != store.TopicQuarantine {
 		return eris.Errorf("topic %s is not writable by way of other nodes", request.Topic)
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), readTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), storeTimeout)
 	defer cancel()
 	if err := s.proxy.log.PutKeyed(ctx, request.Topic, request.Records); err != nil {
 		*outcome = s.proxy.failedOutcome()
--- a/internal/storeproxy/storeproxy.go
+++ b/internal/storeproxy/storeproxy.go
@@ -22,11 +22,11 @@
 )
 
 const (
-	// readTimeout bounds a call to the store on behalf of another node.
-	readTimeout = 600 * time.Millisecond
+	// storeTimeout bounds a call to the store on behalf of another node.
+	storeTimeout = 600 * time.Millisecond
 	// cacheTTL is how long a reply is reused, since hundreds of nodes may ask at once.
 	cacheTTL = 200 * time.Millisecond
-	// callTimeout bounds the call to one node. It exceeds readTimeout.
+	// callTimeout bounds the call to one node. It exceeds storeTimeout.
 	callTimeout = 800 * time.Millisecond
 	// maxPeers is the number of addresses that Peers keeps: those of the latest coordinators.
 	maxPeers = 4
@@ -102,7 +102,8 @@
 	methodReadTopic = serviceName + ".ReadTopic"
 )
 
-// Proxy reads the store on behalf of other nodes. It is safe for concurrent use.
+// Proxy calls the store on behalf of other nodes: it reads keyed topics and appends to those that
+// the nodes own. It is safe for concurrent use.
 type Proxy struct {
 	log   store.Log
 	peers *Peers
@@ -147,7 +148,9 @@
 }
 
 // ReadTopic is Read under a name that earlier builds do not have.
-func (s *service) ReadTopic(req ReadRequest, reply *ReadReply) error { return s.Read(req, reply) }
+func (s *service) ReadTopic(request ReadRequest, reply *ReadReply) error {
+	return s.Read(request, reply)
+}
 
 // Read replies to a request from the cache, or else from the store.
 func (p *Proxy) Read(request ReadRequest) ReadReply {
@@ -179,7 +182,7 @@
 }
 
 func (p *Proxy) readStore(request ReadRequest) ReadReply {
-	ctx, cancel := context.WithTimeout(context.Background(), readTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), storeTimeout)
 	defer cancel()
 	var reply ReadReply
 	if err := readTopic(ctx, p.log, request, &reply); err == nil {
@@ -215,7 +218,7 @@
 	return err
 }
 
-var errNoReader = errors.New("no other node reads the store")
+var errNoPeers = errors.New("no known node can reach the store")
 
 // CallFunc sends a read request to the node at an address.
 type CallFunc func(ctx context.Context, address string, request ReadRequest) (ReadReply, error)
@@ -239,7 +242,7 @@
 // names another peer, that peer is tried next.
 func (p *Peers) tryEach(ctx context.Context, ask func(ctx context.Context, address string) (Outcome, error)) error {
 	tried := make(map[string]bool)
-	lastErr := errNoReader
+	lastErr := errNoPeers
 	addresses := p.Addresses()
 	for len(addresses) > 0 {
 		address := addresses[0]
--- a/internal/usage/call.go
+++ b/internal/usage/call.go
@@ -38,7 +38,7 @@
 	return err
 }
 
-// AppendVia asks the node at an address to append an encoded record.
+// AppendVia asks the node at an address to append an encoded record on behalf of this one.
 func AppendVia(ctx context.Context, address string, encoded []byte) error {
 	return nodecall.Call(ctx, address, methodAppend, AppendRequest{Record: encoded}, &AppendReply{})
 }
--- a/internal/usage/counter.go
+++ b/internal/usage/counter.go
@@ -39,36 +39,36 @@
 func (c *Counter) Pending() bool { return c.unconfirmed != nil || len(c.unbatched) > 0 }
 
 // NextBatch returns the batch to append, nil for none. It returns the same batch until
-// HandleAppended, since an append without an answer may have been carried out. Dropped is the
+// HandleAppended, since an append without an answer may have been carried out. Lost is the
 // number of requests discarded because the retention of their windows has passed.
-func (c *Counter) NextBatch(now time.Time) (next *Batch, dropped int) {
+func (c *Counter) NextBatch(now time.Time) (next *Batch, lost int) {
 	if c.unconfirmed != nil && c.isExpired(now, c.unconfirmed.Counts[len(c.unconfirmed.Counts)-1].Window) {
 		for _, count := range c.unconfirmed.Counts {
-			dropped += count.Requests
+			lost += count.Requests
 		}
 		c.unconfirmed = nil
 	}
 	if c.unconfirmed != nil {
-		return c.unconfirmed, dropped
+		return c.unconfirmed, lost
 	}
 	var counts []Count
 	for key, requests := range c.unbatched {
 		if c.isExpired(now, key.window) {
-			dropped += requests
+			lost += requests
 			continue
 		}
 		counts = append(counts, Count{Window: key.window, Tenant: key.tenant, Requests: requests})
 	}
 	clear(c.unbatched)
 	if len(counts) == 0 {
-		return nil, dropped
+		return nil, lost
 	}
 	slices.SortFunc(counts, func(a, b Count) int {
 		return cmp.Or(cmp.Compare(a.Window, b.Window), cmp.Compare(a.Tenant, b.Tenant))
 	})
 	c.sequence++
 	c.unconfirmed = &Batch{Process: c.process, Sequence: c.sequence, Counts: counts}
-	return c.unconfirmed, dropped
+	return c.unconfirmed, lost
 }
 
 func (c *Counter) isExpired(now time.Time, window Window) bool {
--- a/internal/usage/ledger_test.go
+++ b/internal/usage/ledger_test.go
@@ -30,7 +30,7 @@
 
 // fold returns a ledger of the records from an offset on.
 func (p *testPartition) fold(from int64) *Ledger {
-	ledger := NewLedger(maxWindows)
+	ledger := NewLedger(retainedWindows)
 	for offset := from; offset < int64(len(p.records)); offset++ {
 		if err := ledger.Apply(offset, p.records[offset]); err != nil {
 			p.t.Fatal(err)
--- a/internal/usage/reporter.go
+++ b/internal/usage/reporter.go
@@ -43,9 +43,9 @@
 	reportTimeout = 1500 * time.Millisecond
 	// reportRetryDelay is the delay after a failed report.
 	reportRetryDelay = 400 * time.Millisecond
-	// maxWindows is how many past windows a holder closes and reports, and for how many the
+	// retainedWindows is how many past windows a holder closes and reports, and for how many the
 	// partition keeps records.
-	maxWindows = 12
+	retainedWindows = 12
 )
 
 // ReporterOptions configure a Reporter.
@@ -120,7 +120,7 @@
 // closed but may not have reported are reported again.
 func (r *Reporter) beginTerm(term duty.Term) {
 	r.epoch = term.Epoch
-	r.ledger, r.nextOffset, r.loaded = NewLedger(maxWindows), 0, false
+	r.ledger, r.nextOffset, r.loaded = NewLedger(retainedWindows), 0, false
 	r.firstWindow = WindowAt(r.clock.Now(), r.options.WindowLength)
 	r.reported = make(map[Window]bool)
 	r.fenced, r.retryAt = false, time.Time{}
@@ -141,7 +141,7 @@
 	}
 	for {
 		now := r.clock.Now()
-		window := max(r.ledger.NextToClose(r.firstWindow), WindowAt(now, r.options.WindowLength)-maxWindows)
+		window := max(r.ledger.NextToClose(r.firstWindow), WindowAt(now, r.options.WindowLength)-retainedWindows)
 		end := window.End(r.options.WindowLength)
 		closeAt := end.Add(r.latenessFraction(closeFraction))
 		if backlogEnd := r.lastStoreFailure.Add(backlogDuration); backlogEnd.After(closeAt) {
@@ -222,7 +222,7 @@
 		return nil
 	}
 	for _, window := range r.ledger.ClosedWindows() {
-		expired := now.Sub(window.End(r.options.WindowLength)) > maxWindows*r.options.WindowLength
+		expired := now.Sub(window.End(r.options.WindowLength)) > retainedWindows*r.options.WindowLength
 		if r.reported[window] || expired || r.reportedByPredecessor(window) {
 			continue
 		}
--- a/internal/usage/reporter_test.go
+++ b/internal/usage/reporter_test.go
@@ -251,7 +251,7 @@
 		far.SetFault(storetest.FaultRefuse)
 		sender := NewSender(SenderOptions{
 			Log: far, Process: "p", WindowLength: testWindowLength, OnLost: func(int) {}, Logger: zap.NewNop(),
-			Forward: func(ctx context.Context, record []byte) error {
+			AppendVia: func(ctx context.Context, record []byte) error {
 				_, err := near.Append(ctx, Partition, [][]byte{record})
 				return err
 			},
--- a/internal/usage/sender.go
+++ b/internal/usage/sender.go
@@ -34,8 +34,9 @@
 	Process string
 	// WindowLength is the duration of a window.
 	WindowLength time.Duration
-	// Forward asks another node to append a record that this one could not; it may be nil.
-	Forward func(ctx context.Context, record []byte) error
+	// AppendVia asks another node to append a record on behalf of this one, whose own append
+	// failed; it may be nil.
+	AppendVia func(ctx context.Context, record []byte) error
 	// OnLost is called with the number of requests that no window will include.
 	OnLost func(requests int)
 	Logger *zap.Logger
@@ -122,10 +123,10 @@
 func (s *Sender) nextBatch() *Batch {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	batch, dropped := s.counter.NextBatch(s.clock.Now())
-	if dropped > 0 {
-		s.options.Logger.Error("usage lost", zap.Int("requests", dropped))
-		s.options.OnLost(dropped)
+	batch, lost := s.counter.NextBatch(s.clock.Now())
+	if lost > 0 {
+		s.options.Logger.Error("usage lost", zap.Int("requests", lost))
+		s.options.OnLost(lost)
 	}
 	return batch
 }
@@ -140,12 +141,12 @@
 	callCtx, cancel := context.WithTimeout(ctx, appendTimeout)
 	_, err = s.options.Log.Append(callCtx, Partition, [][]byte{encoded})
 	cancel()
-	if err == nil || s.options.Forward == nil {
+	if err == nil || s.options.AppendVia == nil {
 		return err
 	}
 	callCtx, cancel = context.WithTimeout(ctx, appendTimeout)
 	defer cancel()
-	if forwardErr := s.options.Forward(callCtx, encoded); forwardErr != nil {
+	if forwardErr := s.options.AppendVia(callCtx, encoded); forwardErr != nil {
 		return errors.Join(err, forwardErr)
 	}
 	return nil
