--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -1,5 +1,10 @@
 // Package coordinator runs the batch scheduler on the node that holds the lease. It
 // passes events from the store and the engines to the scheduler and executes its decisions.
+//
+// A term is the time for which a node coordinates under one epoch of the lease. A process that is
+// about to end resigns its term; one that cannot reach the store yields it at the request of another
+// node. In both cases its runs continue until it hands them over: the successor takes over their
+// progress and what was not yet appended.
 package coordinator
 
 import (
@@ -62,7 +67,8 @@
 type Observer interface {
 	ObserveAttempt(reason scheduler.EndReason)
 	ObserveResult(outcome string)
-	ObserveLoad(taken bool)
+	// ObserveLoad records whether an engine had the ordered version afterwards.
+	ObserveLoad(loaded bool)
 	// ObserveReward records the verdict of a reward call and the time since its item's
 	// text was complete.
 	ObserveReward(verdict reward.Verdict, waited time.Duration)
@@ -79,13 +85,13 @@
 // Options configure a Coordinator.
 type Options struct {
 	Engines Engines
-	// Quarantine tracks the items that crash engines; nil disables tracking.
-	Quarantine *crashwatch.Tracker
-	Rewards    Rewards
-	Log        store.Log
-	Jobs       *joblog.Logs
-	Directory  *directory.Directory
-	Scheduler  scheduler.Options
+	// CrashTracker tracks the items that crash engines; nil disables tracking.
+	CrashTracker *crashwatch.Tracker
+	Rewards      Rewards
+	Log          store.Log
+	JobLogs      *joblog.Logs
+	Directory    *directory.Directory
+	Scheduler    scheduler.Options
 	// OrderPause is the time after a takeover in which no order is sent, so that
 	// the orders of two lease holders are at least that far apart.
 	OrderPause time.Duration
@@ -119,11 +125,11 @@
 	lease      election.Lease
 	// termEpoch is the lease epoch of the current term.
 	termEpoch int64
-	// resigned is true while a resigned term continues its runs until the successor takes over.
+	// resigned is true while a resigned or yielded term continues its runs until the successor takes over.
 	resigned bool
-	// successorWontAsk is true if the successor may not request a handover, so that the
-	// runs end after unaskedGracePeriod.
-	successorWontAsk bool
+	// successorRequestsNoHandover is true if the successor may not request a handover, so that
+	// the runs end after noRequestGracePeriod.
+	successorRequestsNoHandover bool
 	// lastHandover is the handover of the last resigned term.
 	lastHandover   termHandover
 	attemptCancels map[scheduler.AttemptID]context.CancelFunc
@@ -139,8 +145,8 @@
 
 // New returns a coordinator that does not hold the lease.
 func New(options Options) *Coordinator {
-	if options.Quarantine == nil {
-		options.Quarantine = crashwatch.NewTracker(crashwatch.Options{})
+	if options.CrashTracker == nil {
+		options.CrashTracker = crashwatch.NewTracker(crashwatch.Options{})
 	}
 	return &Coordinator{
 		options:        options,
@@ -173,7 +179,7 @@
 	}
 	if delay := now.Sub(c.lastTickAt) - tickInterval; delay > maxTickDelay {
 		c.options.Logger.Info("stood still", zap.Duration("lasted", delay))
-		machine.HandleProcessPause(now, delay)
+		machine.HandleProcessStall(now, delay)
 	}
 	c.lastTickAt = now
 	machine.Tick(now)
@@ -235,41 +241,42 @@
 	}
 }
 
-// Demand returns the number of open items by service, or nil while this node is not the coordinator.
-func (c *Coordinator) Demand() map[string]int {
+// UnfinishedItems returns the number of items without a complete text, by service, or nil while this node is not the coordinator.
+func (c *Coordinator) UnfinishedItems() map[string]int {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.machine == nil {
 		return nil
 	}
-	return c.machine.Demand()
+	return c.machine.UnfinishedItems()
 }
 
-// ObserveTable applies a new configuration.
-func (c *Coordinator) ObserveTable(table *routetable.Table) {
+// HandleTable applies a new configuration.
+func (c *Coordinator) HandleTable(table *routetable.Table) {
 	c.mutex.Lock()
 	c.table = table
 	c.mutex.Unlock()
 	c.withScheduler(func(now time.Time, machine *scheduler.Machine) { machine.HandleTable(now, table) })
 }
 
-// ObserveQuarantine passes changed suspicions against requests and items to the scheduler.
-func (c *Coordinator) ObserveQuarantine() {
+// HandleSuspicions passes the crash tracker's current suspicions against requests and items to the
+// scheduler.
+func (c *Coordinator) HandleSuspicions() {
 	c.withScheduler(func(now time.Time, machine *scheduler.Machine) {
-		machine.HandleSuspicions(now, c.options.Quarantine.Suspicions())
+		machine.HandleSuspicions(now, c.options.CrashTracker.Suspicions())
 	})
 }
 
-// ObserveVersion records the newest weight version of a model.
-func (c *Coordinator) ObserveVersion(model string, version int64) {
+// HandleVersion records the newest weight version of a model.
+func (c *Coordinator) HandleVersion(model string, version int64) {
 	c.mutex.Lock()
 	c.newestVersions[model] = max(c.newestVersions[model], version)
 	c.mutex.Unlock()
 	c.withScheduler(func(now time.Time, machine *scheduler.Machine) { machine.HandleVersion(now, model, version) })
 }
 
-// ObserveServers passes a changed list of servers to the scheduler.
-func (c *Coordinator) ObserveServers() {
+// HandleServers passes a changed list of servers to the scheduler.
+func (c *Coordinator) HandleServers() {
 	c.withScheduler(c.handleServers)
 }
 
@@ -285,8 +292,8 @@
 	machine.HandleServers(now, servers)
 }
 
-// ObserveLease applies this node's standing in the election.
-func (c *Coordinator) ObserveLease(state election.State) {
+// HandleLease applies this node's state in the election.
+func (c *Coordinator) HandleLease(state election.State) {
 	c.setLease(state)
 	c.withScheduler(func(now time.Time, machine *scheduler.Machine) {
 		settled := state.Lease.SettledAt(c.options.OrderPause, c.options.Fenced)
--- a/internal/coordinator/term.go
+++ b/internal/coordinator/term.go
@@ -32,7 +32,7 @@
 			// No other process has claimed the lease that this one gave up.
 			c.handOverLocked()
 		case state.Coordinator != "":
-			c.noteSuccessorLocked(state.CoordinatorAsksPredecessor)
+			c.noteSuccessorLocked(state.CoordinatorRequestsHandover)
 		}
 	}
 	c.lease = state.Lease
@@ -45,7 +45,7 @@
 		return
 	}
 	options := c.options.Scheduler
-	options.Term = state.Lease.Epoch
+	options.Epoch = state.Lease.Epoch
 	c.machine = scheduler.NewMachine(options)
 	c.termEpoch = state.Lease.Epoch
 	c.attemptCancels = make(map[scheduler.AttemptID]context.CancelFunc)
@@ -59,24 +59,24 @@
 	for model, version := range c.newestVersions {
 		c.machine.HandleVersion(now, model, version)
 	}
-	c.machine.HandleSuspicions(now, c.options.Quarantine.Suspicions())
+	c.machine.HandleSuspicions(now, c.options.CrashTracker.Suspicions())
 	c.handleServers(now, c.machine)
 	c.options.Logger.Info("term begun", zap.Int64("epoch", c.termEpoch))
 	termCtx, machine, lease := c.termCtx, c.machine, state.Lease
-	c.background.Go(func() { c.takeOverAndFollow(termCtx, machine, lease) })
+	c.background.Go(func() { c.takeOverAndSubscribe(termCtx, machine, lease) })
 }
 
-// takeOverAndFollow takes over from the predecessors and subscribes to the jobs for the term. Each
+// takeOverAndSubscribe takes over from the predecessors and subscribes to the jobs for the term. Each
 // partition is handled on its own, so that one to which appends fail does not delay the others.
-func (c *Coordinator) takeOverAndFollow(termCtx context.Context, machine *scheduler.Machine, lease election.Lease) {
+func (c *Coordinator) takeOverAndSubscribe(termCtx context.Context, machine *scheduler.Machine, lease election.Lease) {
 	began := clock.Now()
 	var partitions conc.WaitGroup
 	// The partitions are read during the takeover.
-	for number := range c.options.Jobs.Partitions() {
-		partitions.Go(func() { c.options.Jobs.Follow(termCtx, number) })
+	for number := range c.options.JobLogs.Partitions() {
+		partitions.Go(func() { c.options.JobLogs.Follow(termCtx, number) })
 	}
 	partitions.Wait()
-	handover := c.takeOver(termCtx, lease.Yielded)
+	handover := c.takeOver(termCtx, lease.HandoverFrom)
 	var items atomic.Int64
 	if handover.Whole {
 		// All partitions come first, since an item's text may be in the partition of an earlier job.
@@ -85,13 +85,13 @@
 		}
 	}
 	subscriber := &termSubscriber{coordinator: c, machine: machine}
-	for number := range c.options.Jobs.Partitions() {
+	for number := range c.options.JobLogs.Partitions() {
 		partitions.Go(func() {
 			c.appendHandover(termCtx, handover, number)
 			if !handover.Whole {
 				items.Add(c.handleRecovered(machine, number, c.recoverProgress(termCtx, number)))
 			}
-			c.options.Jobs.Subscribe(termCtx, number, subscriber)
+			c.options.JobLogs.Subscribe(termCtx, number, subscriber)
 			c.options.Logger.Info("jobs followed", zap.Int("partition", number), zap.Int64("epoch", lease.Epoch),
 				zap.Bool("term_over", termCtx.Err() != nil))
 		})
@@ -110,7 +110,7 @@
 
 func (c *Coordinator) endTermLocked() {
 	c.machine = nil
-	c.resigned, c.successorWontAsk = false, false
+	c.resigned, c.successorRequestsNoHandover = false, false
 	c.cancelTerm()
 	c.options.Logger.Info("term ended", zap.Int64("epoch", c.termEpoch))
 }
--- a/internal/scheduler/machine.go
+++ b/internal/scheduler/machine.go
@@ -28,8 +28,8 @@
 	// retained holds the state of items whose jobs ended before their groups were complete. They
 	// may be resubmitted in a later job.
 	retained map[string]*retainedItem
-	// demand holds the expected tokens per step of each model.
-	demand map[string]float64
+	// tokensPerStep holds the expected tokens per step of each model.
+	tokensPerStep map[string]float64
 	// loadWindows limits the concurrent loads of each service.
 	loadWindows map[string]*loadWindow
 	// activeLoads counts the loading engines of each service.
@@ -49,8 +49,8 @@
 
 	mayOrder bool
 	epoch    int64
-	// A resigned machine starts and orders nothing; its runs continue.
-	resigned bool
+	// A stopped machine starts and orders nothing; its runs continue.
+	stopped bool
 
 	output Output
 }
@@ -61,7 +61,7 @@
 	options.StallTimeout = cmp.Or(options.StallTimeout, DefaultStallTimeout)
 	options.FreshnessLimit = cmp.Or(options.FreshnessLimit, DefaultFreshnessLimit)
 	options.SaveInterval = cmp.Or(options.SaveInterval, DefaultSaveInterval)
-	options.ServerPause = cmp.Or(options.ServerPause, DefaultServerPause)
+	options.EnginePause = cmp.Or(options.EnginePause, DefaultEnginePause)
 	return &Machine{
 		options:        options,
 		jobs:           make(map[string]*job),
@@ -71,7 +71,7 @@
 		newestVersions: make(map[string]int64),
 		lastRead:       make(map[int]time.Time),
 		retained:       make(map[string]*retainedItem),
-		demand:         make(map[string]float64),
+		tokensPerStep:  make(map[string]float64),
 		loadWindows:    make(map[string]*loadWindow),
 		activeLoads:    make(map[string]int),
 		rewards:        reward.NewQueue(),
@@ -98,17 +98,17 @@
 	return waiting
 }
 
-// Demand returns the number of items without a complete text, by service.
-func (m *Machine) Demand() map[string]int {
-	demand := make(map[string]int)
+// UnfinishedItems returns the number of items without a complete text, by service.
+func (m *Machine) UnfinishedItems() map[string]int {
+	unfinishedItems := make(map[string]int)
 	for _, job := range m.jobs {
 		for _, unfinished := range job.items {
 			if !unfinished.finished && !unfinished.textComplete {
-				demand[unfinished.service]++
+				unfinishedItems[unfinished.service]++
 			}
 		}
 	}
-	return demand
+	return unfinishedItems
 }
 
 // Unscored returns the number of items with a complete text and no score.
@@ -145,11 +145,11 @@
 	}
 }
 
-// HandlePartitionRead records that a partition was read to its end by a call that started at
-// since.
-func (m *Machine) HandlePartitionRead(now time.Time, partition int, since time.Time) {
+// HandlePartitionRead records that a partition was read to its end by a call sent at
+// requestedAt.
+func (m *Machine) HandlePartitionRead(now time.Time, partition int, requestedAt time.Time) {
 	stale := now.Sub(m.lastRead[partition]) > m.options.FreshnessLimit
-	m.lastRead[partition] = since
+	m.lastRead[partition] = requestedAt
 	if stale {
 		m.schedule(now)
 	}
@@ -157,7 +157,7 @@
 
 // Tick processes timeouts.
 func (m *Machine) Tick(now time.Time) {
-	if m.resigned {
+	if m.stopped {
 		m.saveProgress(now)
 		return
 	}
