--- a/internal/drain/drain.go
+++ b/internal/drain/drain.go
@@ -33,7 +33,7 @@
 const finalResponseTimeout = 200 * time.Millisecond
 
 // ErrDrainTimeout is the cancellation cause of a request's context when a drain's time is up.
-var ErrDrainTimeout = errors.New("the drain timed out")
+var ErrDrainTimeout = errors.New("the server has no more time")
 
 // acceptTimeout bounds the accept of a pending connection, which the client may have closed since the
 // listener was polled.
