--- a/cmd/dalehook/failure_load_test.go
+++ b/cmd/dalehook/failure_load_test.go
@@ -120,7 +120,7 @@
 func (l *load) runAnnouncer() {
 	version := cluster.Version(2)
 	for !l.stopped() {
-		traffic.Pause(l.w.ctx, announceEvery)
+		traffic.Sleep(l.w.ctx, announceEvery)
 		if !l.stopped() && !l.sameVersion.Load() && l.w.announceVersion(version) == nil {
 			version++
 		}
@@ -137,12 +137,12 @@
 			return err
 		})
 		if err != nil {
-			l.w.fault("post %s: %v", step.Step, err)
+			l.w.fault("post %s: %v", step.ID, err)
 			return
 		}
-		l.w.ledger.Posted(step, stalenessBound)
-		if err := l.readStep(&turn, step.Step, ""); err != nil {
-			l.w.fault("read %s: %v", step.Step, err)
+		l.w.ledger.RecordStep(step, stalenessBound)
+		if err := l.readStep(&turn, step.ID, ""); err != nil {
+			l.w.fault("read %s: %v", step.ID, err)
 			return
 		}
 		l.steps.Add(1)
@@ -152,7 +152,7 @@
 // makeStep makes a step whose prompts are all different.
 func (l *load) makeStep(number int) client.Step {
 	name := fmt.Sprintf("captions-%d", number)
-	step := client.Step{Event: testEvent, Trainer: "captions", Step: name}
+	step := client.Step{Event: testEvent, Trainer: "captions", ID: name}
 	prompts := map[string]string{}
 	for i := range samplesPerStep {
 		least, most := shortTokens, longTokens/4
@@ -162,7 +162,7 @@
 		sample := record.Sample{ID: fmt.Sprintf("s-%02d", i), MaxTokens: maxTokens, Group: fmt.Sprintf("%s-%d", name, i/4)}
 		for take := 0; ; take++ {
 			sample.Prompt = fmt.Sprintf("Hearing %s, speaker %d, take %d.", sample.Group, i, take)
-			if length := standin.AnswerLength(sample.Prompt, maxTokens); length >= least && length <= most {
+			if length := standin.CompletionLength(sample.Prompt, maxTokens); length >= least && length <= most {
 				break
 			}
 		}
@@ -186,11 +186,11 @@
 func (l *load) readStep(turn *int, step, cursor string) error {
 	reads := 0
 	for {
-		var page client.Page
+		var page client.SamplesPage
 		newest := cluster.Version(0)
 		err := l.try(turn, func(node *client.Client) (err error) {
-			newest = l.w.ledger.Newest()
-			page, err = node.ReadSamples(l.w.ctx, client.Read{Step: step, After: cursor, Wait: time.Second, Version: newest})
+			newest = l.w.ledger.NewestVersion()
+			page, err = node.ReadSamples(l.w.ctx, client.ReadRequest{Step: step, Cursor: cursor, MaxWait: time.Second, Version: newest})
 			return err
 		})
 		if err != nil {
@@ -208,7 +208,7 @@
 }
 
 func (l *load) take(step string, newest cluster.Version, samples []machine.SampleView) {
-	l.w.ledger.Took(step, newest, samples)
+	l.w.ledger.RecordReceived(step, newest, samples)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, sample := range samples {
@@ -228,11 +228,11 @@
 		if l.strict {
 			l.w.fault("trainer at %s: %v", n.id, err)
 		}
-		if client.IsFinal(err) || time.Since(start) > patience || l.w.ctx.Err() != nil {
+		if client.IsPermanent(err) || time.Since(start) > patience || l.w.ctx.Err() != nil {
 			return err
 		}
 		*turn++
-		traffic.Pause(l.w.ctx, 100*time.Millisecond)
+		traffic.Sleep(l.w.ctx, 100*time.Millisecond)
 	}
 }
 
@@ -250,7 +250,7 @@
 			tries = 0
 		}
 		l.send(worker+number, call, tries)
-		traffic.Pause(l.w.ctx, 15*time.Millisecond)
+		traffic.Sleep(l.w.ctx, 15*time.Millisecond)
 	}
 }
 
@@ -261,7 +261,7 @@
 func save(id string) client.Call {
 	return client.Call{
 		Method: http.MethodPost, Service: testService, Path: "/saves/" + id, Body: `{"line":"` + id + `"}`,
-		Key: "save-" + id, Unrepeatable: true, Deadline: callTimeout,
+		IdempotencyKey: "save-" + id, Unrepeatable: true, Deadline: callTimeout,
 	}
 }
 
@@ -292,29 +292,29 @@
 		if unknowns == maxUnknowns {
 			return
 		}
-		traffic.Pause(l.w.ctx, 100*time.Millisecond)
+		traffic.Sleep(l.w.ctx, 100*time.Millisecond)
 	}
 }
 
 // judge says what a caller learned from an answer; the answer must be its own
 // and whole.
-func judge(call client.Call, answer client.CallAnswer, err error) (requestOutcome, string) {
+func judge(call client.Call, answer client.CallResponse, err error) (requestOutcome, string) {
 	if err != nil {
 		return outcomeUnknown, err.Error()
 	}
 	if answer.Status != http.StatusOK {
-		var body struct{ Error client.Refusal }
-		if json.Unmarshal(answer.Body, &body) == nil && body.Error.NotRun {
+		var body struct{ Error client.APIError }
+		if json.Unmarshal(answer.Body, &body) == nil && body.Error.NotExecuted {
 			return outcomeNotRun, string(answer.Body)
 		}
 		return outcomeUnknown, fmt.Sprintf("status %d: %s", answer.Status, answer.Body)
 	}
-	var echo standin.ServiceAnswer
+	var echo standin.ServiceResponse
 	if err := json.Unmarshal(answer.Body, &echo); err != nil {
 		return outcomeUnknown, "broken answer " + string(answer.Body)
 	}
 	digest := sha256.Sum256([]byte(call.Body))
-	if echo.Path != call.Path || echo.Key != call.Key || echo.BodyDigest != hex.EncodeToString(digest[:]) {
+	if echo.Path != call.Path || echo.Key != call.IdempotencyKey || echo.BodyDigest != hex.EncodeToString(digest[:]) {
 		return outcomeUnknown, "broken answer: it belongs to " + echo.Path
 	}
 	return outcomeAnswered, ""
@@ -353,7 +353,7 @@
 func (l *load) checkSamples() {
 	l.w.t.Helper()
 	counts := l.w.ledger.Counts()
-	if counts.Steps == 0 || counts.Lost+counts.Duplicated+counts.Stale+len(counts.Faults) > 0 {
+	if counts.Steps == 0 || counts.Lost+counts.Duplicated+counts.Stale+len(counts.Errors) > 0 {
 		l.w.t.Errorf("samples: %+v", counts)
 	}
 	for _, d := range l.taken {
@@ -366,7 +366,7 @@
 			}
 		}
 	}
-	l.w.t.Logf("samples: %d steps, %d samples, %d delivered, newest version %d", counts.Steps, counts.Samples, counts.Delivered, l.w.ledger.Newest())
+	l.w.t.Logf("samples: %d steps, %d samples, %d delivered, newest version %d", counts.Steps, counts.Samples, counts.Delivered, l.w.ledger.NewestVersion())
 }
 
 // checkRequests holds what callers learned against the servers' own counts.
@@ -378,14 +378,14 @@
 		tally[r.outcome]++
 		count := runs[r.call.Path]
 		if r.call.Unrepeatable {
-			count = runs[r.call.Key]
+			count = runs[r.call.IdempotencyKey]
 		}
 		lost := errors.New(r.last)
 		switch {
 		case strings.Contains(r.last, "broken answer"):
 			l.w.t.Errorf("request %s: %v", r.call.Path, lost)
 		case r.call.Unrepeatable && count > 1:
-			l.w.t.Errorf("save %s ran %d times", r.call.Key, count)
+			l.w.t.Errorf("save %s ran %d times", r.call.IdempotencyKey, count)
 		case r.outcome == outcomeAnswered && count == 0:
 			l.w.t.Errorf("request %s was answered and never ran", r.call.Path)
 		case count > 0 && (r.alwaysNotRun || r.call.Unrepeatable && r.outcome == outcomeNotRun):
--- a/internal/crashwatch/tracker_test.go
+++ b/internal/crashwatch/tracker_test.go
@@ -33,7 +33,7 @@
 	node := &testNode{list: directory.NewDirectory()}
 	node.probeResult.Store(int32(ProbeRefused))
 	node.Tracker = NewTracker(Options{
-		Node: "n", Log: log, Directory: node.list, IsCleaner: func() bool { return true },
+		Node: "n", Log: log, Directory: node.list, RemovesExpired: func() bool { return true },
 		TimeOfDay: func() time.Time { return clock.TimeOfDay().Add(time.Duration(node.clockOffset.Load())) },
 		Probe: func(context.Context, string) ProbeResult {
 			node.probes.Add(1)
@@ -164,8 +164,7 @@
 // is back. The next incarnation must also be recognized if another node found the end of the listed
 // one. Otherwise its end was attributed to the incarnation that had already ended under another
 // request and counted for neither, and a request that a node without the store had found was sent
-// on once more (half of the runs of TestANodeThatTheStoreTurnsAwayKnowsWhatOthersFound under the
-// race detector).
+// on once more (half of the runs of TestQuarantineIsSharedWithoutStore under the race detector).
 func TestNextIncarnationAfterEndFoundByAnotherNode(t *testing.T) {
 	cases := []struct {
 		name string
--- a/internal/frontend/append_test.go
+++ b/internal/frontend/append_test.go
@@ -32,7 +32,7 @@
 		// least and most bound the time from the start to the verdict.
 		least, most time.Duration
 	}{
-		{"the drain deadline expires", drain.ErrTimeUp, 0, requestLifetime + lastAnswerTime},
+		{"the drain deadline expires", drain.ErrDrainTimeout, 0, requestLifetime + lastAnswerTime},
 		{"the caller disconnects", context.Canceled, appendTimeout, appendTimeout},
 	}
 	for _, c := range cases {
@@ -40,7 +40,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				log := storetest.NewMemory()
 				log.SetFault(storetest.FaultSilent)
-				n := &Node{logger: zap.NewNop(), jobs: joblog.NewLogs(joblog.Options{Log: log, Partitions: 1, Logger: zap.NewNop()})}
+				n := &Node{logger: zap.NewNop(), jobLogs: joblog.NewLogs(joblog.Options{Log: log, Partitions: 1, Logger: zap.NewNop()})}
 				ctx, end := context.WithCancelCause(t.Context())
 				began := time.Now()
 				time.AfterFunc(requestLifetime, func() { end(c.cause) })
--- a/internal/frontend/fleet_test.go
+++ b/internal/frontend/fleet_test.go
@@ -182,8 +182,8 @@
 	regressed bool
 
 	// guide and source are nil in a small fleet, whose coordinator announces nothing.
-	guide  *fanout.Guide
-	source *fanout.Source
+	guide *fanout.Guide
+	cache *fanout.Cache
 	// link limits the node's bandwidth to other nodes.
 	link nodeLink
 }
@@ -210,21 +210,21 @@
 }
 
 func (n *fleetNode) observe(state election.State) {
-	n.peers.Note(state.Coordinator)
+	n.peers.Add(state.Coordinator)
 	if n.guide != nil {
-		n.guide.Observe(fanoutReport(state, true))
+		n.guide.Observe(fanoutObservation(state, true))
 	}
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	n.held = state.Held
 }
 
-// news corresponds to Node.operatorNews in a large fleet.
-func (n *fleetNode) news() *election.Announcement {
-	if n.source == nil {
+// announcement corresponds to Node.operatorAnnouncement in a large fleet.
+func (n *fleetNode) announcement() *election.Announcement {
+	if n.cache == nil {
 		return nil
 	}
-	return newsFrom(n.source)
+	return announcementOf(n.cache)
 }
 
 func (n *fleetNode) receive(records []store.Record) {
@@ -291,7 +291,7 @@
 		defer f.running.Done()
 		election.Run(ctx, election.Options{
 			Log: log, Self: name, Address: name, Timing: leaseTiming(settings), Yielder: &node.yielder, Logger: zap.NewNop(),
-			Observe: node.observe, Resign: make(chan struct{}), Probe: f.probeFunc(name), Announcement: node.news,
+			Observe: node.observe, Resign: make(chan struct{}), Probe: f.probeFunc(name), Announcement: node.announcement,
 		})
 	}()
 	go func() {
@@ -303,35 +303,35 @@
 
 // enableFanout makes a node follow the operator topic as in a large fleet.
 func (f *fleetOfNodes) enableFanout(node *fleetNode, name string, share float64, following *follow.KeyedOptions) {
-	node.source = fanout.NewSource()
-	node.guide = fanout.NewGuide(fanout.GuideOptions{Share: share, OnUpToDate: node.source.MarkUpToDate})
-	following.Selector, following.OnApplied = node.guide, node.source.Update
-	following.OnRead = func(_ int64, _ bool, asked time.Time) { node.source.MarkUpToDate(asked) }
+	node.cache = fanout.NewCache()
+	node.guide = fanout.NewGuide(fanout.GuideOptions{Share: share, OnUpToDate: node.cache.MarkUpToDate})
+	following.Selector, following.OnApplied = node.guide, node.cache.Update
+	following.OnRead = func(_ int64, _ bool, asked time.Time) { node.cache.MarkUpToDate(asked) }
 	readFor := following.ReadRelayed
-	following.ReadRelayed = func(ctx context.Context, from int64) (follow.Relay, error) {
+	following.ReadRelayed = func(ctx context.Context, from int64) (follow.RelayedRecords, error) {
 		if node.guide.HasAnnouncement() {
 			asked := time.Now()
 			poll, cancel := node.guide.UntilReadable(ctx)
 			defer cancel()
-			answer, err := fanout.Poll(poll, f.take, node.peers.Known(), from, name)
+			answer, err := fanout.Poll(poll, f.take, node.peers.Addresses(), from, name)
 			if err == nil {
-				node.source.MarkUpToDate(asked.Add(-answer.Age))
-				return follow.Relay{Records: answer.Records, Whole: answer.Whole, Next: answer.Next}, nil
+				node.cache.MarkUpToDate(asked.Add(-answer.Age))
+				return follow.RelayedRecords{Records: answer.Records, Snapshot: answer.Whole, Next: answer.Next}, nil
 			}
 			if errors.Is(err, fanout.ErrStale) || poll.Err() != nil {
-				return follow.Relay{}, err
+				return follow.RelayedRecords{}, err
 			}
 		}
 		return readFor(ctx, from)
 	}
-	following.Fetch = func(ctx context.Context, from int64) (follow.Relay, error) {
+	following.Fetch = func(ctx context.Context, from int64) (follow.RelayedRecords, error) {
 		asked, announcement := time.Now(), node.guide.Announcement()
 		answer, err := fanout.Fetch(ctx, f.take, announcement.From, fanout.Question{From: from, Next: announcement.Large, Asker: name})
 		if err != nil {
-			return follow.Relay{}, err
+			return follow.RelayedRecords{}, err
 		}
-		node.source.MarkUpToDate(asked.Add(-answer.Age))
-		return follow.Relay{Records: answer.Records, Whole: answer.Whole, Next: answer.Next}, nil
+		node.cache.MarkUpToDate(asked.Add(-answer.Age))
+		return follow.RelayedRecords{Records: answer.Records, Snapshot: answer.Whole, Next: answer.Next}, nil
 	}
 }
 
@@ -346,7 +346,7 @@
 	if giver.isStopped() {
 		return fanout.Answer{}, errNoAddress
 	}
-	answer := giver.source.Serve(ctx, question)
+	answer := giver.cache.Serve(ctx, question)
 	if !pause.For(ctx, giver.link.send(sizeOf(answer.Records))) {
 		return fanout.Answer{}, ctx.Err()
 	}
@@ -367,7 +367,7 @@
 		if holder.isStopped() {
 			return liveness.Unknown
 		}
-		holder.peers.Note(name)
+		holder.peers.Add(name)
 		if epoch > 0 && holder.yielder.Yield(epoch) {
 			return liveness.Yielded
 		}
@@ -376,21 +376,21 @@
 }
 
 // relayFunc returns the function by which a node reads the operator topic by way of others.
-func (f *fleetOfNodes) relayFunc(node *fleetNode) func(context.Context, int64) (follow.Relay, error) {
-	call := func(ctx context.Context, address string, question storeproxy.Question) (storeproxy.Answer, error) {
+func (f *fleetOfNodes) relayFunc(node *fleetNode) func(context.Context, int64) (follow.RelayedRecords, error) {
+	call := func(ctx context.Context, address string, question storeproxy.ReadRequest) (storeproxy.ReadReply, error) {
 		reader := f.nodeAt(address)
 		if reader.isStopped() {
-			return storeproxy.Answer{}, errNoAddress
+			return storeproxy.ReadReply{}, errNoAddress
 		}
 		answer := reader.proxy.Read(question)
 		if !pause.For(ctx, reader.link.send(sizeOf(answer.Records))) {
-			return storeproxy.Answer{}, ctx.Err()
+			return storeproxy.ReadReply{}, ctx.Err()
 		}
 		return answer, nil
 	}
-	return func(ctx context.Context, from int64) (follow.Relay, error) {
-		answer, err := storeproxy.AskBy(ctx, call, &node.peers, storeproxy.Question{From: from})
-		return follow.Relay{Records: answer.Records, Whole: answer.Whole, Next: answer.Next}, err
+	return func(ctx context.Context, from int64) (follow.RelayedRecords, error) {
+		answer, err := storeproxy.ReadViaFunc(ctx, call, &node.peers, storeproxy.ReadRequest{From: from})
+		return follow.RelayedRecords{Records: answer.Records, Snapshot: answer.Whole, Next: answer.Next}, err
 	}
 }
 
--- a/internal/frontend/metrics.go
+++ b/internal/frontend/metrics.go
@@ -140,7 +140,7 @@
 	gauge("dalehook_unscored_items", "Items whose text is whole and has no score yet, at the coordinator.", func() float64 {
 		return float64(n.coordinator.State().Unscored)
 	})
-	gauge("dalehook_held_requests", "Requests that are held since they crash servers.", func() float64 { return float64(n.quarantine.Held()) })
+	gauge("dalehook_held_requests", "Requests that are held since they crash servers.", func() float64 { return float64(n.crashTracker.Held()) })
 	if droppedLines != nil {
 		gauge("dalehook_log_lines_lost", "Log lines that were lost since the start.", func() float64 { return float64(droppedLines()) })
 	}
@@ -188,9 +188,9 @@
 func (m *nodeMetrics) ObserveResult(outcome string) { m.results.WithLabelValues(outcome).Inc() }
 
 // ObserveLoad implements coordinator.Observer.
-func (m *nodeMetrics) ObserveLoad(taken bool) {
+func (m *nodeMetrics) ObserveLoad(loaded bool) {
 	outcome := "failed"
-	if taken {
+	if loaded {
 		outcome = "loaded"
 	}
 	m.loads.WithLabelValues(outcome).Inc()
@@ -213,10 +213,10 @@
 // ObserveHeld implements crashwatch.Observer.
 func (m *nodeMetrics) ObserveHeld() { m.requestsHeld.Inc() }
 
-func (m *nodeMetrics) observeStore(call string, status int, took time.Duration) {
+func (m *nodeMetrics) observeStore(call string, status int, duration time.Duration) {
 	m.storeCalls.WithLabelValues(call, strconv.Itoa(status)).Inc()
 	if call != longPollCall {
-		m.storeSeconds.WithLabelValues(call).Observe(took.Seconds())
+		m.storeSeconds.WithLabelValues(call).Observe(duration.Seconds())
 	}
 }
 
--- a/internal/frontend/service.go
+++ b/internal/frontend/service.go
@@ -16,7 +16,7 @@
 	"dalehook/internal/store"
 )
 
-// Verdict is the result of a call about a batch job.
+// Verdict is the result of a call about a batch job, or of the admission of any request.
 type Verdict int
 
 const (
@@ -62,7 +62,7 @@
 	if n.leaving.Load() || n.table.Load() == nil || !n.servers.Complete() {
 		return false
 	}
-	if !n.quarantine.Loaded() && clock.Since(n.startedAt) < quarantineWait {
+	if !n.crashTracker.Loaded() && clock.Since(n.startedAt) < quarantineWait {
 		return false
 	}
 	return n.storeSilentFor() < storeSilenceLimit
@@ -81,8 +81,8 @@
 }
 
 // observeStore records the result of a call to the store.
-func (n *Node) observeStore(call string, status int, took time.Duration) {
-	n.metrics.observeStore(call, status, took)
+func (n *Node) observeStore(call string, status int, duration time.Duration) {
+	n.metrics.observeStore(call, status, duration)
 	if status >= http.StatusOK && status < http.StatusMultipleChoices {
 		n.storeAnsweredAt.advance(clock.Now())
 	}
@@ -143,21 +143,21 @@
 	call, cancel := context.WithTimeout(context.WithoutCancel(ctx), appendTimeout)
 	defer cancel()
 	stop := context.AfterFunc(ctx, func() {
-		if errors.Is(context.Cause(ctx), drain.ErrTimeUp) {
+		if errors.Is(context.Cause(ctx), drain.ErrDrainTimeout) {
 			cancel()
 		}
 	})
 	defer stop()
-	return n.jobs.Append(call, jobID, records)
+	return n.jobLogs.Append(call, jobID, records)
 }
 
 // Results returns the results of a batch job from a position on. If there are none yet, it polls
 // for up to wait.
 func (n *Node) Results(ctx context.Context, job batch.JobKey, from int, wait time.Duration) (total int, results []batch.Result, verdict Verdict) {
-	return n.jobReader.results(ctx, job, from, wait)
+	return n.jobReadRouter.results(ctx, job, from, wait)
 }
 
 // ItemBody returns the body of an item that has no result yet.
 func (n *Node) ItemBody(ctx context.Context, job batch.JobKey, itemID string) (body []byte, verdict Verdict) {
-	return n.jobReader.itemBody(ctx, job, itemID)
+	return n.jobReadRouter.itemBody(ctx, job, itemID)
 }
--- a/internal/frontend/usage.go
+++ b/internal/frontend/usage.go
@@ -28,11 +28,11 @@
 	log := n.options.Adapter.Log()
 	length := seconds(settings.Usage.WindowSeconds)
 	sender := usage.NewSender(usage.SenderOptions{
-		Log: log, Process: n.processID(), Length: length, Forward: n.forwardUsage, Logger: logger.Named("usage"),
-		Lost: func(requests int) { n.metrics.usageLost.Add(float64(requests)) },
+		Log: log, Process: n.processID(), WindowLength: length, AppendVia: n.forwardUsage, Logger: logger.Named("usage"),
+		OnLost: func(requests int) { n.metrics.usageLost.Add(float64(requests)) },
 	})
 	reporter := usage.NewReporter(usage.ReporterOptions{
-		Log: log, Provider: n.options.Adapter.Provider(), Length: length, Lateness: seconds(settings.Usage.LatenessSeconds),
+		Log: log, Provider: n.options.Adapter.Provider(), WindowLength: length, Lateness: seconds(settings.Usage.LatenessSeconds),
 		Term: n.term, Logger: logger.Named("usage"),
 		Observe: func(outcome string) { n.metrics.usageReports.WithLabelValues(outcome).Inc() },
 	})
@@ -41,7 +41,7 @@
 
 func seconds(value float64) time.Duration { return time.Duration(value * float64(time.Second)) }
 
-// countStarted counts a request of a tenant that has started to run at a server.
+// countStarted counts a request of a tenant that a server has started to run, or may have.
 func (n *Node) countStarted(tenantName string, at time.Time) {
 	if n.usageSender != nil && tenantName != "" {
 		n.usageSender.Count(tenantName, at)
@@ -50,11 +50,11 @@
 
 // forwardUsage asks the coordinator to append a usage record that this node couldn't append.
 func (n *Node) forwardUsage(ctx context.Context, record []byte) error {
-	address := n.jobReader.forwardTarget()
+	address := n.jobReadRouter.forwardTarget()
 	if address == "" {
 		return errNoCoordinator
 	}
-	return usage.AskToAppend(ctx, address, record)
+	return usage.AppendVia(ctx, address, record)
 }
 
 // term returns the lease term under which this node may call the provider.
@@ -70,5 +70,5 @@
 func (n *Node) mayAct(now time.Time, state election.State) bool {
 	pause := time.Duration(n.options.Settings.OrderPauseMs) * time.Millisecond
 	settled := state.Lease.SettledAt(pause, n.options.Settings.FencingEnforced)
-	return state.Held && now.Before(state.Lease.ExpiresAt) && !now.Before(settled) && !n.leaseHold.HasYielded(state.Lease.Epoch)
+	return state.Held && now.Before(state.Lease.ExpiresAt) && !now.Before(settled) && !n.leaseYielder.HasYielded(state.Lease.Epoch)
 }
--- a/internal/scheduler/assign.go
+++ b/internal/scheduler/assign.go
@@ -7,7 +7,7 @@
 
 // schedule starts waiting items, sends reward calls and orders weight loads.
 func (m *Machine) schedule(now time.Time) {
-	if m.resigned {
+	if m.stopped {
 		return
 	}
 	m.startWaiting(now)
@@ -17,7 +17,7 @@
 
 // startWaiting starts waiting items, job by job in order of arrival.
 func (m *Machine) startWaiting(now time.Time) {
-	if m.resigned {
+	if m.stopped {
 		return
 	}
 	engines := m.sortedEngines()
@@ -51,7 +51,7 @@
 		}
 		chosen := m.chooseOrRestart(now, next, engines, medians[next.service])
 		if chosen == nil {
-			// Version pinning and isolation of suspects restrict this item only: later items may
+			// Version pinning and isolation restrict this item only: later items may
 			// still find an engine.
 			full = len(owner.route.Targets) <= 1 && !next.isPinnedToVersion() && m.suspicion(next).Ends == 0
 			waiting = append(waiting, next)
@@ -140,10 +140,10 @@
 		if !m.canRun(now, next, candidate) || patient && candidate.isSlow(now, medianGap) {
 			continue
 		}
-		if suspicion.Ends >= isolationThreshold && m.runsSuspect(candidate) {
+		if suspicion.Ends >= isolationThreshold && m.runsIsolatedItem(candidate) {
 			continue
 		}
-		cost := candidate.cost(now, next) + suspectCost(suspicion, candidate)
+		cost := candidate.cost(now, next) + isolationCost(suspicion, candidate)
 		if best == nil || cost < bestCost {
 			best, bestCost = candidate, cost
 		}
@@ -229,9 +229,9 @@
 		Server:        chosen.server,
 		After:         next.lastID,
 		ExpectVersion: expected,
-		Deadline:      next.job.giveUpAt,
+		Deadline:      next.job.expiresAt,
 		Inputs: Inputs{
-			Term:     m.options.Term,
+			Epoch:    m.options.Epoch,
 			Version:  chosen.versions[next.job.model],
 			Attempts: len(chosen.attempts) - 1,
 			Gap:      time.Duration(chosen.gap * float64(time.Second)),
--- a/internal/scheduler/loads.go
+++ b/internal/scheduler/loads.go
@@ -11,12 +11,13 @@
 )
 
 // loadRetryDelay is the time between two orders to one engine when the first did not result in the
-// wanted version.
+// wanted version. A longer one leaves the engine longer without the version; a shorter one sends more
+// orders to an engine that can not load it.
 const loadRetryDelay = 400 * time.Millisecond
 
 // assignModels assigns a model to each engine, which loads the new versions of that model. Engines
-// are shared between the models of a service in proportion to demand, and keep their model while
-// the shares do not change.
+// are shared between the models of a service in proportion to their tokens per step, and keep their
+// model while the shares do not change.
 func (m *Machine) assignModels() {
 	byService := make(map[string][]*engine)
 	for _, eng := range m.sortedEngines() {
@@ -77,7 +78,8 @@
 	return targets
 }
 
-// shareTolerance is how many engines a model's share may deviate from its exact proportion.
+// shareTolerance is how many engines a model's share may deviate from its exact proportion before
+// engines are reassigned. It is below 1, so that no model lacks a whole engine.
 const shareTolerance = 0.8
 
 func sharesWithinTolerance(models []string, shares map[string]int, weights map[string]float64, total float64, engines int) bool {
@@ -92,16 +94,17 @@
 	return assigned == engines
 }
 
-// modelWeight returns the demand of a model. Models without jobs so far get the mean demand.
+// modelWeight returns the expected tokens per step of a model. Models without jobs so far get the
+// mean of the others.
 func (m *Machine) modelWeight(model string) float64 {
-	if demand, known := m.demand[model]; known {
-		return demand
+	if tokens, known := m.tokensPerStep[model]; known {
+		return tokens
 	}
 	total := 0.0
-	for _, demand := range m.demand {
-		total += demand
+	for _, tokens := range m.tokensPerStep {
+		total += tokens
 	}
-	return max(total/float64(max(len(m.demand), 1)), 1)
+	return max(total/float64(max(len(m.tokensPerStep), 1)), 1)
 }
 
 // nextModelByQuotient returns the model that gets the next engine: a model without engines first,
@@ -158,7 +161,7 @@
 // orderLoads orders engines to load new versions, most urgent first, within the load window of
 // each service.
 func (m *Machine) orderLoads(now time.Time) {
-	if !m.mayOrder || m.resigned {
+	if !m.mayOrder || m.stopped {
 		m.endDraining()
 		return
 	}
--- a/internal/scheduler/progress.go
+++ b/internal/scheduler/progress.go
@@ -39,7 +39,7 @@
 		return false
 	}
 	waiting.text, waiting.lastID, waiting.versions = partial.Text, partial.LastID, partial.Versions
-	return partial.Whole
+	return partial.Complete
 }
 
 // findRecovered returns the best recovered progress of an item: that of the job itself, or else of
@@ -54,7 +54,7 @@
 		if other == nil || !opened.accepts(other) {
 			continue
 		}
-		if best == nil || !best.Whole && (other.Whole || len(other.Text) > len(best.Text)) {
+		if best == nil || !best.Complete && (other.Complete || len(other.Text) > len(best.Text)) {
 			best = other
 		}
 	}
@@ -79,10 +79,10 @@
 	}
 }
 
-// Resign stops the machine from starting or ordering anything, and saves the progress of all runs,
+// StopStarting stops the machine from starting or ordering anything, and saves the progress of all runs,
 // which continue.
-func (m *Machine) Resign(now time.Time) {
-	m.resigned = true
+func (m *Machine) StopStarting(now time.Time) {
+	m.stopped = true
 	for _, running := range m.sortedAttempts() {
 		m.save(now, running)
 	}
@@ -166,10 +166,10 @@
 // detachedRunName is the run name of a checkpoint that no later progress continues: the text is
 // complete, or no run is extending it.
 func (m *Machine) detachedRunName() string {
-	return strconv.FormatInt(m.options.Term, 36) + ".none"
+	return strconv.FormatInt(m.options.Epoch, 36) + ".none"
 }
 
 // runName returns a name of an attempt that is unique across machines.
 func (m *Machine) runName(running *attempt) string {
-	return strconv.FormatInt(m.options.Term, 36) + "." + strconv.FormatUint(uint64(running.id), 36)
+	return strconv.FormatInt(m.options.Epoch, 36) + "." + strconv.FormatUint(uint64(running.id), 36)
 }
--- a/internal/scheduler/retention.go
+++ b/internal/scheduler/retention.go
@@ -9,10 +9,12 @@
 	"dalehook/internal/reward"
 )
 
-// retentionPeriod is how long the items of an ended job are retained.
+// retentionPeriod is how long the items of an ended job are retained, for a following job that
+// contains them again.
 const retentionPeriod = 15 * time.Second
 
-// retainedRunTimeout is how long runs of an ended job continue for a following job.
+// retainedRunTimeout is how long runs of an ended job continue for a following job. It is shorter than
+// retentionPeriod, since a run takes an engine's slot while a retained text only takes memory.
 const retainedRunTimeout = 2500 * time.Millisecond
 
 // retainedItem is the state of an item without an open job.
